--- a/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
@@ -1,19 +1,20 @@
-"""Which requests wait here, and when the upstream gets them.
-
-Early refusal, the feature ``admission``, is in ``room``; later requests on open
-flows are in ``scheduling``.
-
-An upstream serves its queue in order, so after an outage everybody would be
-late: those who came back first, and all who come after them.  So opening
-packets pass at once, and the first request of a flow waits here until the
-upstream has room.  A caller whose flow is open stays with it until its answer
-comes or its time is over, and says so when it leaves; one that gets no answer
-to its opening packet sends copies, which may open the flow at a second
-upstream, and gives up after 1.4 s, which nobody tells.
-
-Those who return after an outage go first when they are about to leave, then
-those that can be answered in time, by priority; the others get what room is
-left.
+"""Queue of requests that wait until the upstream has capacity for them.
+
+Early refusal, the feature ``admission``, is in ``capacity``; subsequent
+requests of open flows are in ``scheduling``.
+
+An upstream serves its own queue in order of arrival.  After an outage all
+requests would therefore be late, both those of the callers that return first
+and all that follow.  So the agent forwards opening packets at once and queues
+the first request of each flow until the upstream has capacity.  A caller with
+an open flow stays until it gets its answer or times out, and ends the flow when
+it leaves.  A caller without an answer to its opening packet retransmits it,
+which may open the flow at a second upstream, and gives up after 1.4 s without
+telling anybody.
+
+Callers that waited through an outage are served first when they are about to
+leave, then requests that can be answered in time, by priority.  The others get
+the remaining capacity.
 """
 
 from typing import Final
@@ -64,29 +65,29 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Pass the first packet of a flow on, or give it back."""
+    """Forward the opening packet of a flow, or return it to its balancer."""
     now = event.now
     state.balancers.owed.add(event.sender)
     state.note_opening(now)
     envelope = event.envelope
     if envelope.slots:
         state.slots = envelope.slots
-    held = _make_held(state, event)
-    refusal = find_refusal(state, event, held) or refuse_ejected(
+    request = _make_queued(state, event)
+    refusal = find_refusal(state, event, request) or refuse_ejected(
         state, key, event
     )
     if refusal is not None:
-        return _give_back(state, event, refusal, held)
-    state.room.note_taken(held.priority, now)
+        return _refuse(state, event, refusal, request)
+    state.room.note_taken(request.priority, now)
     flow = Flow(now)
     if state.features.scheduling:
         flow.terms = read_opening(envelope)
     state.flows[key] = flow
-    state.held[key] = held
+    state.held[key] = request
     note_opening(state, key, event)
     state.cold.note_passed(now)
-    passed = state.pass_on(event.sender, envelope)
-    return (*register(state, key, flow, now), passed)
+    forwarded = state.pass_on(event.sender, envelope)
+    return (*register(state, key, flow, now), forwarded)
 
 
 def take_waiting(
@@ -94,7 +95,7 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Take a packet of a flow whose first request has not been passed on."""
+    """Handle a packet of a flow whose first request is still queued."""
     envelope = event.envelope
     datagram = envelope.content
     if envelope.kind in OPENING_KINDS:
@@ -102,36 +103,39 @@
     owned: Effects = ()
     if envelope.kind == EnvelopeKind.SEARCH:
         owned = (state.send(event.sender, EnvelopeKind.OWNED, key),)
-    held = state.held[key]
+    request = state.held[key]
     if state.format.flags(datagram) & ENDS_FLOW:
         state.held.pop(key)
         state.flows[key].ended = True
         state.outcomes.forget(key)
-        left = Decided('left_waiting', _describe(state, key, held, event.now))
+        left = Decided(
+            'left_waiting',
+            _describe(state, key, request, event.now),
+        )
         return (*owned, state.pass_on(event.sender, envelope), left)
     if not state.format.data_length(datagram):
         return owned
-    is_first = not held.packets
-    if len(held.packets) < defaults.MAX_HELD_PACKETS:
-        held.packets[state.format.sequence(datagram)] = event
+    is_first = not request.packets
+    if len(request.packets) < defaults.MAX_HELD_PACKETS:
+        request.packets[state.format.sequence(datagram)] = event
     given_up = give_up_ready(state, key, event.now)
     if given_up:
         return (*owned, *given_up)
     released = release_held(state, event.now)
     if is_first and key in state.held:
-        fields = _describe(state, key, held, event.now)
+        fields = _describe(state, key, request, event.now)
         released = (*released, Decided('held', fields))
     return (*owned, *released)
 
 
 def release_held(state: AgentState, now: float) -> Effects:
-    """Pass on what the upstream has room for, the first in rank first."""
-    effects: list[AgentEffect] = list(_forget_late(state, now))
+    """Forward queued requests in order of rank while there is capacity."""
+    effects: list[AgentEffect] = list(_drop_expired(state, now))
     while has_room(state, now):
         ready = [
             key
-            for key, held in state.held.items()
-            if held.packets and not state.outcomes.would_lose(key)
+            for key, request in state.held.items()
+            if request.packets and not state.outcomes.would_lose(key)
         ]
         if not ready:
             break
@@ -141,7 +145,7 @@
 
 
 def release_all(state: AgentState, now: float) -> Effects:
-    """Pass on all that waits, since this process is about to end."""
+    """Forward all queued requests, before this process stops."""
     return tuple(
         effect
         for key in tuple(state.held)
@@ -150,28 +154,28 @@
 
 
 def release_request(state: AgentState, key: bytes, now: float) -> Effects:
-    """Pass on what is there of a request that waits."""
+    """Forward the packets received so far of a queued request."""
     return _release(state, key, now)
 
 
 def _release(state: AgentState, key: bytes, now: float) -> Effects:
-    held = state.held.pop(key)
+    request = state.held.pop(key)
     flow = state.flows[key]
     effects: list[AgentEffect] = []
-    for sequence in flow.sort(held.packets):
-        event = held.packets[sequence]
+    for sequence in flow.sort(request.packets):
+        event = request.packets[sequence]
         datagram = event.envelope.content
         state.note_data(flow, sequence, now)
         note_work(state, key, flow, datagram, now)
         effects.append(state.pass_on(event.sender, event.envelope))
         effects.extend(note_request(state, key, flow, datagram, now))
-    return (*effects, *observe_wait(state, held, now))
+    return (*effects, *observe_wait(state, request, now))
 
 
-def _make_held(state: AgentState, event: EnvelopeArrived) -> Held:
+def _make_queued(state: AgentState, event: EnvelopeArrived) -> Held:
     wait = event.envelope.wait
     now = event.now
-    began = now - wait.age_ms / _MILLISECONDS
+    asked_at = now - wait.age_ms / _MILLISECONDS
     left = event.envelope.left_ms / _MILLISECONDS
     return Held(
         came=now,
@@ -179,33 +183,37 @@
         in_time=now + left,
         assured=now + wait.assured_ms / _MILLISECONDS,
         leaves=now + wait.patience_ms / _MILLISECONDS,
-        is_from_outage=began < state.resumed_at + OPENING_SECONDS,
+        is_from_outage=asked_at < state.resumed_at + OPENING_SECONDS,
         packets={},
     )
 
 
-def _forget_late(state: AgentState, now: float) -> Effects:
-    """Drop flows whose callers have left by now without a word."""
-    late = [key for key, held in state.held.items() if now >= held.leaves]
-    for key in late:
+def _drop_expired(state: AgentState, now: float) -> Effects:
+    """Drop the queued requests whose callers must have left by now."""
+    expired = [
+        key for key, request in state.held.items() if now >= request.leaves
+    ]
+    for key in expired:
         if state.held.pop(key).is_later:
-            # If its caller is there after all it repeats the request.
+            # The flow is open and stays.  If the caller still waits, it
+            # retransmits the request.
             continue
         state.forget(key)
-    return tuple(Decided('held_too_long') for _ in late)
+    return tuple(Decided('held_too_long') for _ in expired)
 
 
-def _give_back(
+def _refuse(
     state: AgentState,
     event: EnvelopeArrived,
     reason: str,
-    held: Held,
+    request: Held,
 ) -> Effects:
+    """Return an opening packet to its balancer, and log the reason."""
     envelope = event.envelope
     room_ms = 0
     if reason == NO_TIME:
-        state.room.note_refused(held.priority, event.now)
-        room_ms = compute_room_ms(state, held, event.now)
+        state.room.note_refused(request.priority, event.now)
+        room_ms = compute_room_ms(state, request, event.now)
     miss = state.give_back(event.sender, envelope, room_ms)
     fields = {
         'flow': state.format.describe_key(
@@ -223,20 +231,21 @@
 def _describe(
     state: AgentState,
     key: bytes,
-    held: Held,
+    request: Held,
     now: float,
 ) -> dict[str, object]:
+    """Return the log fields of a queued request."""
     return {
         'flow': state.format.describe_key(key),
-        'left_ms': round((held.in_time - now) * _MILLISECONDS),
-        'from_outage': held.is_from_outage,
+        'left_ms': round((request.in_time - now) * _MILLISECONDS),
+        'from_outage': request.is_from_outage,
         'busy': state.busy,
         'waiting': len(state.held),
     }
 
 
 def _choose_next(state: AgentState, ready: list[bytes], now: float) -> bytes:
-    """Return the request that is passed on next."""
+    """Return the flow whose request is forwarded next."""
     if state.room.is_pressed(now):
         return choose_under_pressure(state, ready, now)
     return choose_next(state, ready, now)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
@@ -1,4 +1,4 @@
-"""What an agent knows of each flow, and of those that wait for room."""
+"""State of each flow and of each queued request."""
 
 from collections.abc import Iterable
 from typing import Final, NamedTuple
@@ -10,21 +10,21 @@
 
 __all__ = ('Flow', 'Held', 'SeenRequest')
 
-#: Sequence numbers begin anew after so many.
+#: Sequence numbers have 32 bits and wrap around.
 _SEQUENCE_NUMBERS: Final = 0x100000000
 _HALF: Final = _SEQUENCE_NUMBERS // 2
 
 
 class SeenRequest(NamedTuple):
-    """A request whose beginning a packet showed."""
+    """A request whose id was read from its first packet, for logs only."""
 
     request_id: str
-    #: When that packet came.
+    #: When that packet arrived.
     began: float
 
 
 class Flow:
-    """One flow as seen from the packets of its ends."""
+    """A flow as far as the packets of both of its ends show it."""
 
     __slots__ = (
         'asked_by',
@@ -42,41 +42,42 @@
     )
 
     def __init__(self, now: float) -> None:
-        """Start with the first packet towards the upstream."""
+        """Start with the first packet of the flow."""
         #: Time of the last packet of either end.
         self.seen = now
-        #: Number of the latest data octets seen from the caller.
+        #: Sequence number of the latest data from the caller.
         self.caller_sequence: int | None = None
-        #: Whether the upstream sent a packet of it.
+        #: Whether the upstream has sent a packet of the flow.
         self.confirmed = False
-        #: Whether an end closed or reset it.
+        #: Whether either end closed or reset the flow.
         self.ended = False
-        #: Since when the upstream works on a request of it.
+        #: Since when the upstream works on a request of the flow.
         self.busy_since: float | None = None
-        #: Requests at the upstream when that one came.
+        #: Requests in progress at the upstream when that one arrived.
         self.found_busy = 0
-        #: Requests seen and not answered yet, oldest first; for logs only.
+        #: Unanswered requests, oldest first; for logs only.
         self.requests: list[SeenRequest] = []
-        #: Balancer to tell once the upstream shows that it holds the flow.
+        #: Balancer to notify once the upstream confirms that it has the flow.
         self.asked_by: str | None = None
-        #: Whether the directory of the service was told of it.
+        #: Whether the flow is registered with the directory of the service.
         self.is_registered = False
-        #: What its route says of later requests, if this process knows.
+        #: Priority and deadlines of later requests by route, if known.
         self.terms: RouteTerms | None = None
-        #: Number of the upstream's opening packet, until it sends others.
+        #: Sequence number of the upstream's opening packet, until the upstream
+        #: sends data.
         self.opened_with: int | None = None
-        #: The request at work, if outcomes are judged.
+        #: The request in progress, if outcomes of requests are evaluated.
         self.work: Work | None = None
 
     def is_ahead(self, sequence: int) -> bool:
-        """Return whether data with this number was not seen before."""
+        """Return whether a sequence number is later than all seen before."""
         latest = self.caller_sequence
         if latest is None:
             return True
         return 0 < (sequence - latest) % _SEQUENCE_NUMBERS < _HALF
 
     def sort(self, sequences: Iterable[int]) -> list[int]:
-        """Return numbers of data in the order in which it was written."""
+        """Return sequence numbers in the order in which data was written."""
         latest = self.caller_sequence
         if latest is None:
             return sorted(sequences)
@@ -87,39 +88,43 @@
 
 
 class Held(NamedTuple):
-    """A request that waits until the upstream has room.
+    """A request that waits until the upstream has capacity for it.
 
-    The first of a new flow, from its opening packet on, or a later one.
+    It is the first request of a new flow, queued from the opening packet on,
+    or a subsequent one of an open flow.
     """
 
-    #: When its opening packet came, or the first of a later request.
+    #: When the opening packet arrived, or the first packet of a subsequent
+    #: request.
     came: float
-    #: 0 goes first.
+    #: 0 is the highest priority.
     priority: int
-    #: Until when an answer is not late.
+    #: Until when an answer is in time.
     in_time: float
-    #: Until when its caller surely waits.
+    #: Until when the caller is certain to wait.
     assured: float
-    #: When its caller leaves at the latest.
+    #: When the caller leaves at the latest.
     leaves: float
-    #: Whether the caller waits since before this service could be reached.
+    #: Whether the caller has waited since an outage of the service.
     is_from_outage: bool
-    #: Packets of the request so far, by the number of their first octet.
+    #: Packets of the request so far, by sequence number.
     packets: dict[int, EnvelopeArrived]
-    #: Whether earlier requests of its flow were passed on.
+    #: Whether earlier requests of the flow were forwarded.
     is_later: bool = False
 
     def rank(self, now: float, answer: float) -> tuple[int, int, float]:
-        """Return the place in the queue; the highest goes first.
+        """Return the rank in the queue; the highest rank is served first.
 
-        An answer takes ``answer`` seconds.  Callers from an outage come
-        first when they are about to leave.  Then come those that can be
-        answered in time, by priority, and the late ones who leave first.
-        Who would leave before the answer comes last.
+        An answer is expected to take ``answer`` seconds.  Callers that waited
+        through an outage rank first when they are about to leave.  Next are
+        requests that can be answered in time, by priority, then late ones,
+        by priority and departure of the caller.  Callers that would leave
+        before the answer rank last.
         """
         start = now + answer
         if self.is_from_outage:
-            # Who is still here has proved that this was its first try.
+            # A caller that still waits after its earliest departure is at its
+            # first try, and so leaves at its latest departure.
             due = self.assured if now < self.assured else self.leaves
             if 0 < due - start < defaults.RESCUE_SECONDS:
                 return 2, 0, -due
--- a/packages/keelgap-agent/src/keelgap_agent/packets/pace.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/pace.py
@@ -1,9 +1,10 @@
-"""How long one request keeps one slot of the upstream at work.
+"""Service time of a request: how long it occupies one slot of the upstream.
 
-The time to an answer is work and waiting in the upstream.  Balancers compare
-upstreams by the work alone: one that is slow only because it was given much
-is not slow.  A request that found a free slot shows its work directly; of
-another the part is taken that the requests before it did not cause.
+The time to an answer consists of service time and waiting time in the upstream.
+Balancers compare upstreams by the service time alone, so that an upstream which
+answers late only because of its load does not count as slow.  The time to an
+answer of a request that finds a free slot is its service time; for any other
+request the share caused by the requests ahead of it is taken off.
 """
 
 from typing import Final
@@ -16,30 +17,31 @@
 
 
 class Pace:
-    """Mean work of a request, over the latest answers."""
+    """Mean service time of requests, over the latest answers."""
 
     def __init__(self) -> None:
-        """Start without an answer."""
+        """Start without samples."""
         self.samples = 0
         self.seconds: float = 0
 
-    def note(self, taken: float, before: int, slots: int) -> None:
-        """Take the time to one answer.
+    def note(self, duration: float, before: int, slots: int) -> None:
+        """Record the time to one answer.
 
-        ``before`` requests were at work or waiting when its own arrived.
+        ``busy_on_arrival`` is the number of requests that were in progress or
+        waiting at the upstream when this one arrived.
         """
         queued = max(before - slots + 1, 0)
-        work = taken / (1 + queued / slots)
+        sample = duration / (1 + queued / slots)
         if self.samples >= defaults.FIRST_PACE_SAMPLES:
-            # One long request says little of the others.
-            work = min(work, defaults.MOST_PACE_SAMPLE * self.seconds)
-        # All count alike until there are enough of them.
+            # A single long request says little about the others.
+            sample = min(sample, defaults.MOST_PACE_SAMPLE * self.seconds)
+        # A plain mean first, a moving average once there are enough samples.
         self.samples = min(self.samples + 1, defaults.PACE_SAMPLES)
-        self.seconds += (work - self.seconds) / self.samples
+        self.seconds += (sample - self.seconds) / self.samples
 
     @property
     def milliseconds(self) -> int:
-        """Return the mean work; 0 until it rests on enough answers."""
+        """Return the mean service time; 0 until there are enough samples."""
         if self.samples < defaults.FEWEST_PACE_SAMPLES:
             return 0
         return max(round(self.seconds * _MILLISECONDS), 1)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
@@ -1,4 +1,4 @@
-"""The packet agent's reducer: ``(state, event) -> (state, effects)``."""
+"""The reducer of the packet agent: ``(state, event) -> (state, effects)``."""
 
 from collections.abc import Callable, Mapping
 from types import MappingProxyType
@@ -86,12 +86,12 @@
     state: AgentState,
     event: AgentEvent,
 ) -> tuple[AgentState, Effects]:
-    """Return the state after an event and what the driver must do."""
+    """Return the state after an event and the effects for the driver."""
     effects = _HANDLERS[type(event)](state, event)
     return state, tell_news(state, effects)
 
 
-def _take_envelope(state: AgentState, event: EnvelopeArrived) -> Effects:
+def _handle_envelope(state: AgentState, event: EnvelopeArrived) -> Effects:
     state.note_stamp(event.stamp, event.now)
     handler = _ENVELOPE_HANDLERS.get(event.envelope.kind)
     if handler is None:
@@ -102,21 +102,24 @@
         return (Decided(error.code),)
 
 
-def _greet(state: AgentState, event: EnvelopeArrived) -> Effects:
-    """Report to this balancer at once, and for some seconds."""
+def _subscribe(state: AgentState, event: EnvelopeArrived) -> Effects:
+    """Subscribe a balancer to load reports and send the first one."""
     state.balancers.greeted[event.sender] = event.now
     return _answer_ask(state, event)
 
 
 def _answer_ask(state: AgentState, event: EnvelopeArrived) -> Effects:
-    """Take what this balancer says, and report to it once."""
+    """Handle the notice of a balancer and send it one load report."""
     state.balancers.report_formats[event.sender] = event.envelope.hop
-    taken = take_notice(state, event)
-    return (make_report_to(state, event.sender), *taken)
+    handled = take_notice(state, event)
+    return (make_report_to(state, event.sender), *handled)
 
 
 def _take_packet(state: AgentState, event: EnvelopeArrived) -> Effects:
-    """Pass a packet to the upstream unless it cannot be meant for it."""
+    """Forward a packet to the upstream, or queue it.
+
+    A packet of another service goes back to its balancer.
+    """
     envelope = event.envelope
     datagram = envelope.content
     if not state.format.is_whole(datagram):
@@ -128,76 +131,79 @@
         )
     key = state.format.caller_key(datagram)
     if key not in state.flows:
-        taken = _take_unseen(state, key, event)
-        if taken is not None:
-            return taken
+        handled = _handle_unknown_flow(state, key, event)
+        if handled is not None:
+            return handled
     flow = state.flows[key]
     flow.seen = event.now
-    take = _choose_queue(state, key, flow, event)
-    if take is not None:
-        return take(state, key, event)
-    return _pass_packet(state, key, flow, event)
+    handler = _find_queue_handler(state, key, flow, event)
+    if handler is not None:
+        return handler(state, key, event)
+    return _forward_packet(state, key, flow, event)
 
 
-def _choose_queue(
+def _find_queue_handler(
     state: AgentState,
     key: bytes,
     flow: Flow,
     event: EnvelopeArrived,
 ) -> Callable[[AgentState, bytes, EnvelopeArrived], Effects] | None:
-    """Return what takes a packet of a request that waits; else None."""
+    """Return the handler of a packet whose request waits; else None."""
     waiting = state.held.get(key)
     if waiting is not None:
         return take_more if waiting.is_later else take_waiting
     return hold_later if begins_to_wait(state, flow, event) else None
 
 
-def _pass_packet(
+def _forward_packet(
     state: AgentState,
     key: bytes,
     flow: Flow,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Pass a packet on, and note what it shows."""
+    """Forward a packet to the upstream and record what it contains."""
     envelope = event.envelope
     datagram = envelope.content
-    began = _note_caller_packet(state, key, flow, datagram, event.now)
-    passed = state.pass_on(event.sender, envelope)
-    # A caller that left may have made room.
+    started = _record_caller_packet(state, key, flow, datagram, event.now)
+    forwarded = state.pass_on(event.sender, envelope)
+    # A caller that ended its flow may have freed a slot.
     released = release_held(state, event.now) if flow.ended else ()
     owned: Effects = ()
     if envelope.kind == EnvelopeKind.SEARCH:
         if not flow.confirmed:
             flow.asked_by = event.sender
-            # Most agents that are asked do not hold the flow; see tell_begun.
-            return (passed, *released)
+            # A search goes to many agents, most of which do not own the flow,
+            # so its requests are logged only once the upstream has answered;
+            # see log_pending_requests.
+            return (forwarded, *released)
         owned = (state.send(event.sender, EnvelopeKind.OWNED, key),)
-    return (passed, *owned, *began, *released)
+    return (forwarded, *owned, *started, *released)
 
 
-def _take_unseen(
+def _handle_unknown_flow(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects | None:
-    """Take a packet of no known flow; return None if it may be open.
+    """Handle a packet of an unknown flow; return None if it may be open.
 
-    The upstream knows best whether it holds a flow that is open.
+    The agent does not decide whether the upstream has an open flow: such a
+    packet is forwarded, and the upstream bounces it if it does not.
     """
     envelope = event.envelope
     if key in state.outcomes.given_up:
         return answer_given_up(state, key, event)
     if envelope.kind in OPENING_KINDS:
-        take = hold_untold if is_untold(state) else take_opening
-        return take(state, key, event)
+        handler = hold_untold if is_untold(state) else take_opening
+        return handler(state, key, event)
     if len(state.flows) >= defaults.MAX_FLOWS:
-        passed = state.pass_on(event.sender, envelope)
-        return passed, Decided('flow_table_full')
+        forwarded = state.pass_on(event.sender, envelope)
+        return forwarded, Decided('flow_table_full')
     state.flows[key] = Flow(event.now)
     return None
 
 
-def _note_caller_packet(
+def _record_caller_packet(
     state: AgentState,
     key: bytes,
     flow: Flow,
@@ -205,7 +211,8 @@
     now: float,
 ) -> Effects:
     if state.format.flags(datagram) & ENDS_FLOW:
-        # A caller that left waits for no answer, and upstreams stop then.
+        # The caller no longer waits for an answer, and upstreams stop the work
+        # on a request whose flow has ended.
         flow.ended = True
         state.cancel_request(flow)
         state.outcomes.ejection.forget(key)
@@ -217,39 +224,40 @@
     return ()
 
 
-def _take_upstream_packet(
+def _handle_upstream_packet(
     state: AgentState,
     event: UpstreamPacket,
 ) -> Effects:
     datagram = event.datagram
     flags = state.format.flags(datagram)
     if flags & _BOUNCED:
-        return _take_bounce(state, datagram, event.now)
+        return _return_bounced_packet(state, datagram, event.now)
     now = event.now
     key = state.format.upstream_key(datagram)
     if key in state.outcomes.given_up:
         return drop_given_up()
     flow = state.flows.get(key)
     if flow is None:
-        # This process is younger than the flow.
+        # The flow was opened before this process started.
         flow = Flow(now)
         if len(state.flows) < defaults.MAX_FLOWS:
             state.flows[key] = flow
     flow.seen = now
     flow.confirmed = True
     note_upstream_packet(state, key, flow, datagram)
-    owned = _tell_owned(state, key, flow)
+    owned = _answer_search(state, key, flow)
     if not flow.is_registered and key in state.flows:
         owned = (*owned, *register(state, key, flow, now))
-    answered = _note_answer(state, key, flow, datagram, now)
-    # After the end of the flow is noted: what is passed on is no work.
+    answered = _record_answer(state, key, flow, datagram, now)
+    # Must follow the end of the flow: data forwarded on an ended flow does not
+    # count as work.
     settled = end_waiting(state, key, flags, now)
     released = release_held(state, now) if state.held else ()
     return (SendToCaller(datagram), *owned, *answered, *settled, *released)
 
 
-def _tell_owned(state: AgentState, key: bytes, flow: Flow) -> Effects:
-    """Answer the balancer that searched for the flow, if one did."""
+def _answer_search(state: AgentState, key: bytes, flow: Flow) -> Effects:
+    """Tell the balancer that searched for the flow that it is owned here."""
     asked_by = flow.asked_by
     if asked_by is None:
         return ()
@@ -258,7 +266,7 @@
     return (owned, *tell_begun(state, key, flow))
 
 
-def _note_answer(
+def _record_answer(
     state: AgentState,
     key: bytes,
     flow: Flow,
@@ -266,7 +274,7 @@
     now: float,
 ) -> Effects:
     answered: Effects = ()
-    judged = judge_answer(state, key, flow, datagram, now)
+    classified = judge_answer(state, key, flow, datagram, now)
     flags = state.format.flags(datagram)
     if state.format.data_length(datagram):
         state.note_work(flow, datagram, now)
@@ -277,11 +285,13 @@
         state.end_request(flow, now)
         if flags & _RST:
             answered = (*answered, *tell_unanswered(state, key, flow, 'reset'))
-    return (*answered, *judged)
+    return (*answered, *classified)
 
 
-def _take_bounce(state: AgentState, datagram: bytes, now: float) -> Effects:
-    """Give a packet that the upstream did not take back to its balancer."""
+def _return_bounced_packet(
+    state: AgentState, datagram: bytes, now: float
+) -> Effects:
+    """Return a bounced packet to the balancer that sent it."""
     host, hop, kind = state.balancers.read_mark(state.format.mark(datagram))
     packet = state.format.without_bounce(datagram)
     key = state.format.caller_key(packet)
@@ -307,71 +317,70 @@
 
 def _handle_timer(state: AgentState, event: TimerFired) -> Effects:
     now = event.now
-    judged = judge_silence(state, now)
+    effects = judge_silence(state, now)
     if now - state.swept_at >= defaults.SWEEP_SECONDS:
         state.swept_at = now
         state.directory.expire(now)
-        judged = (*judged, *_sweep(state, now))
-    return (*judged, *_update(state, now))
+        effects = (*effects, *_sweep(state, now))
+    return (*effects, *_release_and_report(state, now))
 
 
-def _update(state: AgentState, now: float) -> Effects:
-    """Release those who wait, and report what changed."""
+def _release_and_report(state: AgentState, now: float) -> Effects:
+    """Release queued requests and report changes."""
     released = release_held(state, now)
-    told = (
+    directory_effects = (
         *ask_again(state, now),
         *keep_registered(state, now),
         *ask_lagging(state, now),
         *tell_watchers(state, now),
     )
     report = state.make_report()
-    waited = now - state.balancers.reported_at
+    unreported_seconds = now - state.balancers.reported_at
     if (
         report == state.balancers.reported
-        and waited < defaults.REPORT_IDLE_SECONDS
+        and unreported_seconds < defaults.REPORT_IDLE_SECONDS
     ):
-        return (*released, *told, *_report_to_owed(state))
+        return (*released, *directory_effects, *_send_due_reports(state))
     state.balancers.reported = report
     state.balancers.reported_at = now
-    return (*released, *told, *_report_to_all(state, now))
+    return (*released, *directory_effects, *_send_all_reports(state, now))
 
 
-def _report_to_all(state: AgentState, now: float) -> Effects:
-    greeted = state.balancers.greeted
-    silent = [
+def _send_all_reports(state: AgentState, now: float) -> Effects:
+    subscribers = state.balancers.greeted
+    expired = [
         host
-        for host, at in greeted.items()
-        if now - at > defaults.SUBSCRIBED_SECONDS
+        for host, subscribed_at in subscribers.items()
+        if now - subscribed_at > defaults.SUBSCRIBED_SECONDS
     ]
-    for gone in silent:
-        greeted.pop(gone)
-    effects = tuple(make_report_to(state, receiver) for receiver in greeted)
-    state.balancers.owed.difference_update(greeted)
-    return (*effects, *_report_to_owed(state))
+    for gone in expired:
+        subscribers.pop(gone)
+    effects = tuple(make_report_to(state, receiver) for receiver in subscribers)
+    state.balancers.owed.difference_update(subscribers)
+    return (*effects, *_send_due_reports(state))
 
 
-def _report_to_owed(state: AgentState) -> Effects:
-    """Answer offers, from which their senders tell that this agent lives.
+def _send_due_reports(state: AgentState) -> Effects:
+    """Send a report to each balancer that offered a flow.
 
-    In a large fleet balancers greet few agents, and this is all they hear.
+    It shows them that this agent is alive.  In a large fleet a balancer
+    subscribes to few agents only, and hears nothing else from the others.
     """
-    owed = state.balancers.owed
-    effects = tuple(
-        make_report_to(state, receiver) for receiver in sorted(owed)
-    )
-    owed.clear()
+    due = state.balancers.owed
+    effects = tuple(make_report_to(state, receiver) for receiver in sorted(due))
+    due.clear()
     return effects
 
 
 def _sweep(state: AgentState, now: float) -> Effects:
-    """Forget flows that ended, never opened, or were long silent."""
-    over = [
+    """Remove flows that ended, never opened or were idle for too long."""
+    expired = [
         key
         for key, flow in state.flows.items()
-        if now - flow.seen > _choose_patience(flow)
+        if now - flow.seen > _choose_idle_timeout(flow)
     ]
     effects: list[AgentEffect] = []
-    for key in over:
+    for key in expired:
         effects.extend(
             tell_unanswered(state, key, state.flows[key], 'silent'),
         )
@@ -379,7 +388,7 @@
     return tuple(effects)
 
 
-def _choose_patience(flow: Flow) -> float:
+def _choose_idle_timeout(flow: Flow) -> float:
     if flow.ended:
         return defaults.ENDED_SECONDS
     if flow.confirmed:
@@ -388,11 +397,11 @@
 
 
 def _stop(state: AgentState, event: StopRequested) -> Effects:
-    """Take no new flows, and say so at once."""
+    """Stop taking new flows, and report so at once."""
     state.stopping_since = event.now
     refused = release_untold(state, event.now)
     released = (*refused, *release_all(state, event.now))
-    return (*released, *_report_to_all(state, event.now))
+    return (*released, *_send_all_reports(state, event.now))
 
 
 _KIND_NAMES: Final = MappingProxyType({
@@ -403,7 +412,7 @@
     Mapping[int, Callable[[AgentState, EnvelopeArrived], Effects]]
 ] = MappingProxyType({
     int(EnvelopeKind.ASK): _answer_ask,
-    int(EnvelopeKind.HELLO): _greet,
+    int(EnvelopeKind.HELLO): _subscribe,
     int(EnvelopeKind.FORWARD): _take_packet,
     int(EnvelopeKind.OPEN): _take_packet,
     int(EnvelopeKind.TRY): _take_packet,
@@ -415,8 +424,8 @@
 
 _HANDLERS: Final[Mapping[type, Callable[[AgentState, Any], Effects]]] = (
     MappingProxyType({
-        EnvelopeArrived: _take_envelope,
-        UpstreamPacket: _take_upstream_packet,
+        EnvelopeArrived: _handle_envelope,
+        UpstreamPacket: _handle_upstream_packet,
         TimerFired: _handle_timer,
         StopRequested: _stop,
     })
--- a/packages/keelgap-agent/src/keelgap_agent/packets/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/server.py
@@ -1,4 +1,7 @@
-"""A packet agent: sockets in, events through the reducer, sockets."""
+"""Driver of the packet agent.
+
+It turns datagrams into events for the reducer and carries out the effects.
+"""
 
 from collections.abc import Callable
 from contextlib import ExitStack
@@ -45,7 +48,7 @@
 
 
 class PacketAgent:
-    """One agent beside its upstream."""
+    """The packet agent of one upstream."""
 
     def __init__(
         self,
@@ -54,7 +57,7 @@
         process: PacketProcess,
         stack: ExitStack,
     ) -> None:
-        """Take open sockets; the stack closes all that is opened here."""
+        """Use open sockets; the stack closes everything opened here."""
         listen = settings.listen
         self.settings = settings
         self.process = process
@@ -76,7 +79,8 @@
                 self.adapter.read_terms(settings.features.terms),
             ),
         )
-        # Otherwise another agent may have passed flows to the upstream.
+        # If the upstream runs already, another agent process may have
+        # forwarded flows to it.
         is_older = is_upstream_down(self.upstream)
         self.state.registrar.is_older = is_older
         self.state.registrar.is_complete = (
@@ -96,7 +100,7 @@
         })
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         loop = self.loop
         loop.add_reader(
             self.upstream_socket,
@@ -111,7 +115,7 @@
         serve_pages(
             loop,
             ready,
-            {self.adapter.READY_PATH: self._make_ready},
+            {self.adapter.READY_PATH: self._make_readiness_page},
             self.stack,
         )
         serve_metrics(
@@ -123,13 +127,13 @@
         loop.call_every(defaults.TIMER_SECONDS, self._tick)
 
     def stop(self) -> None:
-        """Leave in a planned way: let requests at work end first."""
+        """Stop gracefully, once the requests in progress have ended."""
         if self.state.stopping_since is None:
             self.process.lines.tell('stopping', busy=self.state.busy)
             self._dispatch(StopRequested(self.loop.clock()))
 
     def reload(self, settings: AgentPacketSettings) -> tuple[str, ...]:
-        """Serve another service or upstream from now on."""
+        """Apply changed settings; return the names of those in force now."""
         self.settings = settings
         self.upstream = parse_address(settings.upstream.address)
         self.state.change_service(
@@ -174,7 +178,7 @@
                 held.is_later for held in state.held.values()
             ),
             'expected_wait_seconds': state.room.pace * len(state.held),
-            'work_milliseconds': state.pace.milliseconds,
+            'work_milliseconds': state.service_time.milliseconds,
             'balancers_heard': len(state.balancers.greeted),
             'directory_nodes': len(state.registrar.streams),
             'directory_flows': len(state.directory.holders),
@@ -212,7 +216,7 @@
         datagram = pack_envelope(effect.envelope, stamp)
         self._send(datagram, (effect.host, self.peer_port))
 
-    def _make_ready(self, query: str) -> Page:
+    def _make_readiness_page(self, query: str) -> Page:
         return make_ready_page(self.state.stopping_since is None)
 
     def _tick(self) -> None:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/state.py
@@ -1,4 +1,4 @@
-"""State of a packet agent; its reducer alone changes it, in place."""
+"""State of the packet agent, modified in place by its reducer only."""
 
 from typing import Final
 
@@ -34,7 +34,7 @@
 
 
 class AgentState:
-    """All that a packet agent holds."""
+    """The complete state of a packet agent."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         warm_up: WarmUpSettings = NO_WARM_UP_SETTINGS,
         features: Features = NO_FEATURES,
     ) -> None:
-        """Start without flows; ``own`` is the host of this agent."""
+        """Start without flows; ``own_host`` is the host of this agent."""
         self.format = packet_format
         self.features = features
         self.service_tag = compute_service_tag(service)
@@ -58,43 +58,47 @@
         self.outcomes = Outcomes(now)
         #: Whether the operators took the availability zone out of service.
         self.is_evacuated = False
-        #: Revision of the catalog that says so, or that it is in service.
+        #: Catalog revision from which ``is_evacuated`` was taken.
         self.zone_revision = 0
         self.work = Workload()
-        #: Requests that wait for room, and new flows whose first request has
-        #: not come, by key.
+        #: Requests that wait for a free slot, and new flows whose first request
+        #: has not arrived, by flow key.
         self.held: dict[bytes, Held] = {}
         self.slots = defaults.FIRST_SLOTS
+        #: Moving average of the time to an answer; 0 before the first one.
         self.answer_seconds: float = 0
-        self.pace = Pace()
-        #: When an opening packet came last.
+        self.service_time = Pace()
+        #: When the last opening packet arrived.
         self.opening_at = float('-inf')
-        #: When the first came after a time without any.
+        #: When the first opening packet arrived after a pause without any,
+        #: which is taken for an outage.
         self.resumed_at = now
-        #: Latest change of the store that a balancer told of.
+        #: Revision of the latest store change that a balancer reported.
         self.latest_change = 0
-        #: When a balancer told last that it does not reach the store.
-        self.store_missed_at = float('-inf')
+        #: When a balancer last reported that entries may be missing, since it
+        #: did not reach the store.
+        self.store_unreachable_at = float('-inf')
         self.stopping_since: float | None = None
         self.swept_at = now
 
     def judge_anew(self, now: float) -> None:
-        """Forget outcomes and pace: another upstream has started."""
+        """Reset outcomes and service time, after another upstream started."""
         for flow in self.flows.values():
             flow.work = None
         given_up = self.outcomes.given_up
         self.outcomes = Outcomes(now)
         self.outcomes.given_up = given_up
         self.outcomes.has_news = self.features.ejection
-        self.pace = Pace()
+        self.service_time = Pace()
 
     def change_service(self, service: str, now: float) -> None:
-        """Take no packets of another service any more.
+        """Accept packets of this service only, from now on.
 
-        What was told and registered belongs to the former service; nodes of
-        this one may still speak for an earlier time when it was served here.
-        Where the service stays, so does all that: nodes go on to speak for this
-        agent, so it must go on to register.
+        If the service changes, the notice and the registrations belong to the
+        former service and are dropped.  Directory nodes of the new service may
+        still answer for an earlier time when it was served on this host.  If
+        the service stays the same, everything is kept: the nodes continue to
+        answer for this agent, so it must continue to register.
         """
         tag = compute_service_tag(service)
         if tag == self.service_tag:
@@ -104,18 +108,18 @@
         self.directory = Directory(now)
 
     def note_stamp(self, stamp: Stamp, now: float) -> None:
-        """Take what a balancer knows of the store, to pass it on."""
+        """Record what a balancer knows of the store, for own stamps."""
         self.latest_change = max(self.latest_change, stamp.latest_change)
         if stamp.may_lack_entries:
-            self.store_missed_at = now
+            self.store_unreachable_at = now
 
     def make_stamp(self, now: float) -> Stamp:
-        """Return what balancers told of the store lately."""
-        since = now - self.store_missed_at
+        """Return what balancers recently reported about the store."""
+        since = now - self.store_unreachable_at
         return Stamp(self.latest_change, since < ENTRY_RETURN_SECONDS)
 
     def make_report(self) -> LoadReport:
-        """Return what balancers should know now."""
+        """Return the current load report for balancers."""
         return LoadReport(
             busy=self.busy + len(self.held),
             flows=len(self.flows),
@@ -124,7 +128,7 @@
             is_ejected=self.outcomes.ejection.is_out,
             wants_trial=self.outcomes.ejection.wants_trial,
             waiting=len(self.held),
-            work_ms=self.pace.milliseconds,
+            work_ms=self.service_time.milliseconds,
         )
 
     def send(
@@ -134,7 +138,7 @@
         content: bytes,
         hop: int = 0,
     ) -> SendToPeer:
-        """Return the effect that sends an envelope to a balancer."""
+        """Return the effect that sends an envelope to a balancer or agent."""
         envelope = Envelope(kind, hop, 0, 0, 0, self.service_tag, content)
         return SendToPeer(host, envelope)
 
@@ -144,9 +148,10 @@
         envelope: Envelope,
         room_ms: int = 0,
     ) -> SendToPeer:
-        """Return the effect that gives a packet back to its balancer.
+        """Return the effect that returns a packet to its balancer.
 
-        ``room_ms`` says when there would be room, if that is the reason.
+        ``room_ms`` is the time until the upstream has capacity for the flow,
+        if it is returned for lack of capacity, else 0.
         """
         miss = self.send(
             host,
@@ -154,42 +159,42 @@
             envelope.content,
             envelope.hop,
         )
-        told = miss.envelope._replace(left_ms=room_ms)
-        return miss._replace(envelope=told)
+        returned = miss.envelope._replace(left_ms=room_ms)
+        return miss._replace(envelope=returned)
 
     def pass_on(self, host: str, envelope: Envelope) -> SendToUpstream:
-        """Return the effect that hands a packet to the upstream.
+        """Return the effect that forwards a packet to the upstream.
 
-        Its mark leads a bounce back to the balancer.
+        The packet is marked, so that a bounce can be returned to the balancer.
         """
         mark = self.balancers.make_mark(host, envelope.hop, envelope.kind)
         return SendToUpstream(self.format.with_mark(envelope.content, mark))
 
     @property
     def busy(self) -> int:
-        """Return how many requests are at work at the upstream."""
+        """Return the number of requests in progress at the upstream."""
         return len(self.work.flows)
 
     @property
     def has_room(self) -> bool:
-        """Return whether the upstream has a place for another request.
+        """Return whether the upstream can take another request.
 
-        To pass requests on use ``scheduling.order.has_room``, which also knows
-        of overdue ones.
+        Before forwarding a request, check ``scheduling.order.has_capacity``
+        instead, which also accounts for overdue requests.
         """
-        at_work = self.busy - self.outcomes.count_stuck()
-        return at_work < self.slots + defaults.EXTRA_SLOTS
+        in_progress = self.busy - self.outcomes.count_stuck()
+        return in_progress < self.slots + defaults.EXTRA_SLOTS
 
     def note_opening(self, now: float) -> None:
-        """Note an opening packet; the first ones may end an outage."""
+        """Record an opening packet, which may be the first after an outage."""
         if now - self.opening_at > defaults.OUTAGE_SECONDS:
             self.resumed_at = now
         self.opening_at = now
 
     def note_data(self, flow: Flow, sequence: int, now: float) -> bool:
-        """Note data of a caller; return whether it is new.
+        """Record data of a caller; return whether it is new.
 
-        Copies of earlier data are no new work.
+        Retransmitted data does not count as a new request.
         """
         if not flow.is_ahead(sequence):
             return False
@@ -200,33 +205,33 @@
         return True
 
     def start_request(self, flow: Flow, now: float) -> None:
-        """Note data of a caller: the upstream has work."""
+        """Record that the upstream works on a request of a flow."""
         if flow.busy_since is None:
             flow.busy_since = now
             flow.found_busy = self.busy
             self.work.flows[flow] = None
 
     def end_request(self, flow: Flow, now: float) -> None:
-        """Note data of the upstream: it answers."""
+        """Record that the upstream answers the request of a flow."""
         if flow.busy_since is None:
             return
-        taken = now - flow.busy_since
-        # The first answer of all stands for itself.
+        duration = now - flow.busy_since
+        # The first answer of all initializes the average.
         weight = defaults.ANSWER_WEIGHT if self.answer_seconds else 1
-        self.answer_seconds += weight * (taken - self.answer_seconds)
+        self.answer_seconds += weight * (duration - self.answer_seconds)
         self.cancel_request(flow)
         self.room.note_answer(now, is_full=self.busy >= self.slots)
 
     def note_work(self, flow: Flow, datagram: bytes, now: float) -> None:
-        """Learn from an answer how long requests keep a slot at work."""
+        """Update the service time from an answer that is not an error."""
         if not self.features.placement or flow.busy_since is None:
             return
         if self.format.read_status(datagram) < defaults.FIRST_UNSERVED_STATUS:
-            taken = now - flow.busy_since
-            self.pace.note(taken, flow.found_busy, self.slots)
+            duration = now - flow.busy_since
+            self.service_time.note(duration, flow.found_busy, self.slots)
 
     def cancel_request(self, flow: Flow) -> None:
-        """Note that the upstream does not work on a flow's request."""
+        """Record that the upstream no longer works on the request of a flow."""
         if flow.busy_since is not None:
             flow.busy_since = None
             self.work.flows.pop(flow, None)
@@ -235,7 +240,7 @@
             flow.work = None
 
     def forget(self, key: bytes) -> None:
-        """Drop a flow."""
+        """Remove a flow and everything recorded about it."""
         self.held.pop(key, None)
         self.outcomes.forget(key)
         flow = self.flows.pop(key, None)
