--- a/packages/keelgap-agent/src/keelgap_agent/packets/balancers.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/balancers.py
@@ -1,4 +1,4 @@
-"""The balancers that send to an agent, and the marks that name them."""
+"""The balancers that send to an agent, and packet marks that identify them."""
 
 from typing import Final
 
@@ -6,7 +6,8 @@
 
 __all__ = ('Balancers',)
 
-#: A mark has 32 bits: the balancer's number, the hop, the kind.
+#: A mark has 32 bits: 16 for the balancer's number, 8 each for the hop and the
+#: kind of the envelope.
 _HOP_SHIFT: Final = 8
 _NUMBER_SHIFT: Final = 16
 _OCTET: Final = 255
@@ -14,24 +15,24 @@
 
 
 class Balancers:
-    """The balancers that send here, with a number each for marks."""
+    """The balancers that send to this agent, each with a number for marks."""
 
     def __init__(self, now: float) -> None:
-        """Start with none."""
+        """Start without balancers."""
         self.hosts: list[str] = []
         self.numbers: dict[str, int] = {}
-        #: When each was last heard to want reports.
+        #: When each balancer last subscribed to load reports.
         self.greeted: dict[str, float] = {}
-        #: The form of reports that each reads, where it said so.
+        #: The report format that each balancer reads, if it stated one.
         self.report_formats: dict[str, int] = {}
-        #: Those that offered a flow since the last reports.
+        #: Balancers that offered a flow since the last reports.
         self.owed: set[str] = set()
-        #: What all of them were told last, and when.
+        #: The last report sent to all subscribers, and its time.
         self.reported: LoadReport | None = None
         self.reported_at = now
 
     def make_mark(self, host: str, hop: int, kind: int) -> int:
-        """Return the mark that names where a packet came from."""
+        """Return the mark that identifies where a packet came from."""
         number = self.numbers.get(host)
         if number is None:
             number = self._add(host)
@@ -40,8 +41,8 @@
     def read_mark(self, mark: int) -> tuple[str | None, int, int]:
         """Return balancer, hop and kind of a mark.
 
-        No balancer if this process gave no such mark, for instance because
-        it is younger than the packet.
+        The balancer is None if this process did not create the mark, for
+        example because it started after the packet was sent.
         """
         number = mark >> _NUMBER_SHIFT
         host = self.hosts[number] if number < len(self.hosts) else None
@@ -49,7 +50,7 @@
 
     def _add(self, host: str) -> int:
         if len(self.hosts) >= _MAX_NUMBER:
-            # Marks live for milliseconds, so numbers can be given anew.
+            # Marks are in use for milliseconds only, so numbers can be reused.
             self.hosts = []
             self.numbers = {}
         number = len(self.hosts)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/cold.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/cold.py
@@ -1,7 +1,7 @@
-"""How many new flows a cold upstream gets.
+"""Rate limit for new flows of an upstream that is not warm yet.
 
-Only the agent sees all that its upstream is given, whoever sent it, so it
-alone can keep a bound on any span of a second.
+Only the agent sees all new flows of its upstream, from whichever balancer, so
+only the agent can enforce a limit over every window of a second.
 """
 
 from collections import deque
@@ -12,49 +12,50 @@
 
 
 class ColdBound:
-    """The bound on new flows of an upstream that is not warm yet."""
+    """Sliding-window limit on the new flows of an upstream during warm-up."""
 
     def __init__(self, excess: float, slack: float, now: float) -> None:
-        """Bound by a multiple of what the upstream bears, and some more."""
+        """Allow ``excess`` times the configured rate, and ``slack`` more."""
         self.excess = excess
         self.slack = slack
-        #: New flows a second that the upstream bears; 0 if none are stated.
-        self.per_second: float = 0
+        #: New flows per second that the upstream can take until it is warm; 0
+        #: if no rate is configured.
+        self.rate: float = 0
         self.until = float('-inf')
-        #: When new flows were passed to the upstream, within one window.
-        self.passed: deque[float] = deque()
-        #: Until when another agent may have passed some.
+        #: When new flows were forwarded to the upstream, within one window.
+        self.forwarded_at: deque[float] = deque()
+        #: Until when flows forwarded by another agent process may count.
         self.unknown_until = float('-inf')
-        self.began = now
+        self.started_at = now
 
     def note_other_agent(self) -> None:
-        """Count on another agent's having filled the present window."""
-        self.unknown_until = self.began + defaults.COLD_WINDOW_SECONDS
+        """Assume that another agent process has filled the present window."""
+        self.unknown_until = self.started_at + defaults.COLD_WINDOW_SECONDS
 
-    def take(self, per_second: float, until: float) -> None:
-        """Take what the operators state, and when the upstream is warm."""
-        self.per_second = per_second
+    def take(self, rate: float, until: float) -> None:
+        """Set the configured rate and the time when the upstream is warm."""
+        self.rate = rate
         self.until = until
 
     def is_full(self, now: float) -> bool:
         """Return whether the upstream must not get another flow now.
 
-        Where no rate is stated there is no bound.
+        Without a configured rate there is no limit.
         """
-        if not self.per_second or now >= self.until:
+        if not self.rate or now >= self.until:
             return False
         if now < self.unknown_until:
             return True
-        self._forget_old(now)
-        most = int(self.per_second * self.excess + self.slack)
-        return len(self.passed) >= most
+        self._expire(now)
+        limit = int(self.rate * self.excess + self.slack)
+        return len(self.forwarded_at) >= limit
 
     def note_passed(self, now: float) -> None:
-        """Count a new flow that goes to the upstream."""
-        self._forget_old(now)
-        self.passed.append(now)
-
-    def _forget_old(self, now: float) -> None:
-        limit = now - defaults.COLD_WINDOW_SECONDS
-        while self.passed and self.passed[0] <= limit:
-            self.passed.popleft()
+        """Count a new flow that is forwarded to the upstream."""
+        self._expire(now)
+        self.forwarded_at.append(now)
+
+    def _expire(self, now: float) -> None:
+        window_start = now - defaults.COLD_WINDOW_SECONDS
+        while self.forwarded_at and self.forwarded_at[0] <= window_start:
+            self.forwarded_at.popleft()
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
@@ -1,8 +1,9 @@
-"""The part of its service's flow directory that this agent keeps.
+"""Directory node: the part of the service's flow directory kept by this agent.
 
-It answers who may hold a flow, and whose registrations it has completely: of
-those a flow that it does not know is not held.  What it knows is soft; after
-a restart the agents register anew as soon as they notice.
+A node answers which agents may own a flow, and which agents it covers, that is,
+whose registrations it has completely.  A covered agent does not own a flow that
+the node does not know.  All of this is soft state: after a restart of the node
+the agents register again as soon as they notice.
 """
 
 from keelgap.packets.directory_messages import (
@@ -30,17 +31,17 @@
 
 
 def take_registration(state: AgentState, event: EnvelopeArrived) -> Effects:
-    """Note which flows another agent holds; raise MalformedEnvelope."""
+    """Record which flows another agent owns; raise MalformedEnvelope."""
     registration = unpack_registration(event.envelope.content)
     if event.envelope.service_tag != state.service_tag:
         return (Decided('drop_other_service'),)
-    member = state.directory.take(event.sender, registration, event.now)
-    if member is None or member.former_tag is None:
+    agent = state.directory.take(event.sender, registration, event.now)
+    if agent is None or agent.former_tag is None:
         return ()
     fields = {
         'host': event.sender,
         'upstream_tag': registration.upstream_tag,
-        'former_tag': member.former_tag,
+        'former_tag': agent.former_tag,
         'knows_all_flows': registration.is_complete,
         'flows': registration.end,
     }
@@ -48,25 +49,26 @@
 
 
 def answer_lookup(state: AgentState, event: EnvelopeArrived) -> Effects:
-    """Tell a balancer who may hold flows; raise MalformedEnvelope.
+    """Answer which agents may own flows; raise MalformedEnvelope.
 
-    It is also told whose flows are all known here, unless it knows, and for
-    some time whenever that changes: its verdicts may wait for it.
+    The balancer is also told which agents are covered, unless its digest shows
+    that it knows them, and is notified of changes for some time: it may wait
+    for them with its verdicts.
     """
-    question = unpack_question(event.envelope.content)
+    request = unpack_question(event.envelope.content)
     now = event.now
-    counted = _count_covered(state, now)
+    updated = _update_coverage(state, now)
     directory = state.directory
-    rows = tuple((key, _find_holders(state, key, now)) for key in question.keys)
+    rows = tuple((key, _find_owners(state, key, now)) for key in request.keys)
     content = pack_lookup(Lookup(directory.digest, rows))
     found = state.send(event.sender, EnvelopeKind.FOUND, content)
     directory.watchers[event.sender] = now + defaults.WATCH_SECONDS
-    if question.digest == directory.digest:
-        return (*counted, found)
-    return (*counted, *_tell_covered(state, event.sender), found)
+    if request.digest == directory.digest:
+        return (*updated, found)
+    return (*updated, *_send_coverage(state, event.sender), found)
 
 
-def _tell_covered(state: AgentState, host: str) -> Effects:
+def _send_coverage(state: AgentState, host: str) -> Effects:
     return tuple(
         state.send(host, EnvelopeKind.COVERED, content)
         for content in pack_coverage(state.directory.covered)
@@ -74,36 +76,36 @@
 
 
 def tell_watchers(state: AgentState, now: float) -> Effects:
-    """Tell balancers that wait for verdicts of agents that came in."""
+    """Notify balancers that wait with verdicts of a changed coverage."""
     directory = state.directory
     directory.forget_watchers(now)
     if not directory.watchers:
         return ()
-    counted = _count_covered(state, now)
+    updated = _update_coverage(state, now)
     if directory.digest == directory.told_digest:
-        return counted
+        return updated
     directory.told_digest = directory.digest
-    told = tuple(
+    notified = tuple(
         effect
         for host in directory.watchers
-        for effect in _tell_covered(state, host)
+        for effect in _send_coverage(state, host)
     )
-    return (*counted, *told)
+    return (*updated, *notified)
 
 
 def ask_lagging(state: AgentState, now: float) -> Effects:
-    """Ask agents for all their flows where registrations were lost."""
+    """Request all flows of the agents whose registrations have a gap."""
     return tuple(
         state.send(host, EnvelopeKind.RESYNC, b'')
         for host in state.directory.list_lagging(now)
     )
 
 
-def _count_covered(state: AgentState, now: float) -> Effects:
-    """Count for whom this node speaks; return a line if that changed."""
+def _update_coverage(state: AgentState, now: float) -> Effects:
+    """Update the set of covered agents, and log if it changed."""
     registrar = state.registrar
-    own = registrar.own if registrar.is_complete else ''
-    change = state.directory.count_covered(own, now)
+    own_host = registrar.own if registrar.is_complete else ''
+    change = state.directory.count_covered(own_host, now)
     if not change.added and not change.removed:
         return ()
     fields = {
@@ -117,18 +119,18 @@
     return (Decided('coverage_changed', fields),)
 
 
-def _find_holders(
+def _find_owners(
     state: AgentState,
     key: bytes,
     now: float,
 ) -> tuple[str, ...]:
-    """Return the hosts of the agents that may hold a flow.
+    """Return the hosts of the agents that may own a flow.
 
-    Not of those that were silent for long: they are gone, or are asked
-    themselves.
+    Agents not heard from for long are left out: they are gone, or balancers
+    ask them directly, since they are not covered.
     """
     flow = state.flows.get(key)
-    own: tuple[str, ...] = ()
+    own_hosts: tuple[str, ...] = ()
     if flow is not None and flow.is_registered:
-        own = (state.registrar.own,)
-    return own + state.directory.list_holders(key, now)
+        own_hosts = (state.registrar.own,)
+    return own_hosts + state.directory.list_holders(key, now)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
@@ -1,4 +1,4 @@
-"""State of the flow directory, as an agent that keeps a part of it holds it."""
+"""State of a directory node."""
 
 from typing import Final, NamedTuple
 
@@ -11,11 +11,11 @@
 from keelgap.packets.generations import Generations
 from keelgap_agent.packets import defaults
 
-__all__ = ('CoverageChange', 'Directory', 'Member')
+__all__ = ('CoverageChange', 'Directory', 'RegisteredAgent')
 
 
 class CoverageChange(NamedTuple):
-    """Agents for which a directory node speaks since now, or no more."""
+    """Hosts of agents that became covered, or no longer are."""
 
     added: frozenset[str]
     removed: frozenset[str]
@@ -24,57 +24,57 @@
 _NO_CHANGE: Final = CoverageChange(frozenset(), frozenset())
 
 
-class Member:
-    """One agent that registers its flows here."""
+class RegisteredAgent:
+    """An agent that registers its flows with this node."""
 
     __slots__ = (
-        'asked_at',
-        'began',
         'boot',
         'end',
-        'expected',
+        'first_heard_at',
         'former_tag',
         'heard_at',
         'is_complete',
         'lagging_since',
+        'next_expected',
         'pending',
+        'resync_requested_at',
         'stream',
         'upstream_tag',
     )
 
     def __init__(self, registration: Registration, now: float) -> None:
-        """Start with the first registration of one start of the agent."""
+        """Start with the first registration after a start of the agent."""
         self.boot = registration.boot
         self.upstream_tag = registration.upstream_tag
         self.is_complete = False
-        self.began = now
-        #: Upstream of the agent that was here before; 0 if that never knew,
-        #: None if there was no other.
+        self.first_heard_at = now
+        #: Upstream tag of the previous agent process on this host; 0 if that
+        #: process never learned it, None if there was none.
         self.former_tag: int | None = None
         self.heard_at = now
-        self.asked_at = float('-inf')
+        self.resync_requested_at = float('-inf')
         self.stream = registration.stream
-        #: Number of the first key that is missing.
-        self.expected = 0
-        #: Number after the last key that was announced.
+        #: Sequence number of the first key that is missing.
+        self.next_expected = 0
+        #: Sequence number after the last key that was announced.
         self.end = 0
-        #: Groups of keys behind a missing one: first number and count.
+        #: Groups of keys after a missing one: first sequence number and count.
         self.pending: dict[int, int] = {}
-        #: When the stream was last complete here, or began.
+        #: When the stream was last complete here, or started.
         self.lagging_since = now
 
     @property
-    def is_in_step(self) -> bool:
+    def is_in_sync(self) -> bool:
         """Return whether no registration of the stream is missing."""
-        return self.expected >= self.end
+        return self.next_expected >= self.end
 
     def take(self, registration: Registration, now: float) -> None:
-        """Note which registrations of the stream are here."""
+        """Record which registrations of the stream have arrived."""
         if registration.stream < self.stream:
             return
         if registration.stream > self.stream:
             self.stream = registration.stream
-            self.expected = 0
+            self.next_expected = 0
             self.end = 0
             self.pending = {}
             self.lagging_since = now
@@ -84,53 +84,54 @@
         self.end = max(self.end, registration.end)
         if registration.keys:
             self.pending[registration.sequence] = len(registration.keys)
-        while self.expected in self.pending:
-            self.expected += self.pending.pop(self.expected)
-        if self.is_in_step:
+        while self.next_expected in self.pending:
+            self.next_expected += self.pending.pop(self.next_expected)
+        if self.is_in_sync:
             self.lagging_since = now
 
-    def is_fresh(self, now: float) -> bool:
-        """Return whether the agent was heard lately."""
+    def is_recent(self, now: float) -> bool:
+        """Return whether the agent was heard from recently."""
         return now - self.heard_at <= defaults.COVERED_SECONDS
 
     def is_covered(self, now: float) -> bool:
         """Return whether all flows of its upstream are known here."""
-        is_trusted = self.is_complete and not self._is_doubted(now)
-        return self.is_in_step and is_trusted and self.is_fresh(now)
+        is_trusted = self.is_complete and not self._may_miss_flows(now)
+        return self.is_in_sync and is_trusted and self.is_recent(now)
 
-    def _is_doubted(self, now: float) -> bool:
-        """Return whether another agent may have passed flows to the upstream.
+    def _may_miss_flows(self, now: float) -> bool:
+        """Return whether the previous agent may have served this upstream.
 
-        It did if it was here before, beside the same upstream.  Either may not
-        have been told yet which one that is.
+        If it did, it forwarded flows that the present agent does not know.
+        Either of them may not have learned yet which upstream it serves.
         """
         if self.former_tag is None:
             return False
-        if now - self.began >= defaults.FLOW_LIFE_SECONDS:
+        if now - self.first_heard_at >= defaults.FLOW_LIFE_SECONDS:
             return False
         is_unknown = 0 in {self.former_tag, self.upstream_tag}
         return is_unknown or self.former_tag == self.upstream_tag
 
 
 class Directory:
-    """What other agents registered with this one."""
+    """The flows that other agents registered with this node."""
 
     def __init__(self, now: float) -> None:
         """Start empty."""
-        #: Hosts that may hold a flow; two where an opening packet reached two.
+        #: Hosts whose agents may own a flow; two if an opening packet reached
+        #: two of them.
         self.holders: Generations[tuple[str, ...]] = Generations(
             defaults.REGISTERED_SECONDS,
             defaults.MAX_REGISTERED,
             now,
         )
-        self.members: dict[str, Member] = {}
-        #: Hosts whose flows are all known, when they were last counted.
+        self.members: dict[str, RegisteredAgent] = {}
+        #: Hosts whose flows were all known at the last update of the coverage.
         self.covered: frozenset[str] = frozenset()
         self.digest = 0
-        self.counted_at = float('-inf')
-        #: Balancers that wait for more of them, and until when.
+        self.coverage_updated_at = float('-inf')
+        #: Balancers to notify of changes of the coverage, and until when.
         self.watchers: dict[str, float] = {}
-        #: Digest that they were told last.
+        #: Digest of the coverage that they were last sent.
         self.told_digest = 0
 
     def take(
@@ -138,48 +139,49 @@
         host: str,
         registration: Registration,
         now: float,
-    ) -> Member | None:
-        """Take what an agent registers; return the agent if it is new."""
-        member = self.members.get(host)
-        is_new = member is None or member.boot != registration.boot
-        if member is None or is_new:
-            later = Member(registration, now)
-            if member is not None:
-                later.former_tag = member.upstream_tag or member.former_tag or 0
-            member = later
-            self.members[host] = member
-        member.take(registration, now)
+    ) -> RegisteredAgent | None:
+        """Record a registration; return the agent if it has just started."""
+        agent = self.members.get(host)
+        is_new = agent is None or agent.boot != registration.boot
+        if agent is None or is_new:
+            started = RegisteredAgent(registration, now)
+            if agent is not None:
+                started.former_tag = agent.upstream_tag or agent.former_tag or 0
+            agent = started
+            self.members[host] = agent
+        agent.take(registration, now)
         for key in registration.keys:
             self._add_holder(key, host)
-        if member.is_covered(now) != (host in self.covered):
-            self.counted_at = float('-inf')
-        return member if is_new else None
+        if agent.is_covered(now) != (host in self.covered):
+            self.coverage_updated_at = float('-inf')
+        return agent if is_new else None
 
     def list_holders(self, key: bytes, now: float) -> tuple[str, ...]:
-        """Return the hosts that registered a flow and were heard lately.
+        """Return the hosts that registered a flow and were heard from recently.
 
-        And those that counted as covered a moment ago: not to name them would
-        deny the flow for them.
+        Hosts in the last computed coverage are included, too: leaving them out
+        would deny the flow on their behalf.
         """
         hosts = self.holders.get(key) or ()
         return tuple(
             host
             for host in hosts
-            if host in self.covered or self._is_heard(host, now)
+            if host in self.covered or self._is_recent(host, now)
         )
 
     def count_covered(self, own: str, now: float) -> CoverageChange:
-        """Bring the set of covered hosts up to date; return what changed.
+        """Update the set of covered hosts; return the change.
 
-        ``own`` is this agent's host if it knows all flows of its upstream.
+        ``own_host`` is the host of this agent if it knows all flows of its
+        upstream, else empty.
         """
-        if now - self.counted_at < defaults.COUNT_SECONDS:
+        if now - self.coverage_updated_at < defaults.COUNT_SECONDS:
             return _NO_CHANGE
-        self.counted_at = now
+        self.coverage_updated_at = now
         covered = {
             host
-            for host, member in self.members.items()
-            if member.is_covered(now)
+            for host, agent in self.members.items()
+            if agent.is_covered(now)
         }
         if own:
             covered.add(own)
@@ -191,36 +193,36 @@
         return CoverageChange(self.covered - before, before - self.covered)
 
     def list_lagging(self, now: float) -> list[str]:
-        """Return the hosts to ask for their flows, since some were lost."""
+        """Return the hosts to request all flows of, since some were lost."""
         lagging = []
-        for host, member in self.members.items():
-            since = max(member.lagging_since, member.asked_at)
-            if not member.is_in_step and now - since >= defaults.LAG_SECONDS:
-                member.asked_at = now
+        for host, agent in self.members.items():
+            since = max(agent.lagging_since, agent.resync_requested_at)
+            if not agent.is_in_sync and now - since >= defaults.LAG_SECONDS:
+                agent.resync_requested_at = now
                 lagging.append(host)
         return lagging
 
     def forget_watchers(self, now: float) -> None:
-        """Forget balancers that asked too long ago."""
+        """Remove balancers whose last lookup was too long ago."""
         gone = [host for host, until in self.watchers.items() if now > until]
         for host in gone:
             self.watchers.pop(host)
 
     def expire(self, now: float) -> None:
-        """Forget flows and agents that were silent for long."""
+        """Remove flows and agents not heard of for too long."""
         self.holders.expire(now)
         gone = [
             host
-            for host, member in self.members.items()
-            if now - member.heard_at > defaults.FLOW_LIFE_SECONDS
+            for host, agent in self.members.items()
+            if now - agent.heard_at > defaults.FLOW_LIFE_SECONDS
         ]
         for host in gone:
             self.members.pop(host)
 
-    def _is_heard(self, host: str, now: float) -> bool:
-        """Return whether an agent was heard lately."""
-        member = self.members.get(host)
-        return member is not None and member.is_fresh(now)
+    def _is_recent(self, host: str, now: float) -> bool:
+        """Return whether an agent was heard from recently."""
+        agent = self.members.get(host)
+        return agent is not None and agent.is_recent(now)
 
     def _add_holder(self, key: bytes, host: str) -> None:
         hosts = self.holders.get(key) or ()
--- a/packages/keelgap-agent/src/keelgap_agent/packets/notices.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/notices.py
@@ -1,7 +1,8 @@
-"""Take what balancers tell of the upstream, its zone and its service.
+"""Handling of notices on the upstream, its availability zone and its service.
 
-Agents read nothing of the store, so all that the operators ask of upstreams
-comes with notices; the one of the latest revision counts.
+Agents do not read the store, so they learn all that the operators configure for
+upstreams from the notices of balancers.  The notice with the latest revision
+counts.
 """
 
 from typing import Final
@@ -24,13 +25,13 @@
 
 
 def take_notice(state: AgentState, event: EnvelopeArrived) -> Effects:
-    """Take what a balancer says; raise MalformedEnvelope."""
+    """Handle a notice of a balancer; raise MalformedEnvelope."""
     if not event.envelope.content:
-        # Of an earlier release, which tells nothing.
-        return _end_untold(state, event.now)
+        # A balancer of an earlier release sends no notice.
+        return _release_openings(state, event.now)
     notice = unpack_notice(event.envelope.content)
     if event.envelope.service_tag != state.service_tag:
-        # Of a former upstream of another service on this host.
+        # About a former upstream on this host, of another service.
         return _change_zone(state, notice, event.sender)
     tag = state.registrar.upstream_tag
     reason = note_upstream(state, notice)
@@ -40,20 +41,20 @@
     if reason:
         effects = (*effects, *tell_complete(state, reason, event.now))
     if notice.revision == state.zone_revision:
-        # Not from a balancer that is behind.
+        # Not from a balancer whose catalog is behind.
         warm_at = event.now + notice.warm_up_ms / _MILLISECONDS
         state.cold.take(notice.cold_per_second, warm_at)
-    released = _end_untold(state, event.now)
-    is_later = notice.revision >= state.registrar.directory.revision
-    if not notice.shards or not is_later:
+    released = _release_openings(state, event.now)
+    is_current = notice.revision >= state.registrar.directory.revision
+    if not notice.shards or not is_current:
         return (*effects, *released)
-    # Flows that waited are registered before their packets pass.
-    moved = move(state, notice.directory, event.now)
-    return (*effects, *moved, *released)
+    # Flows that waited are registered before their packets are forwarded.
+    registered = move(state, notice.directory, event.now)
+    return (*effects, *registered, *released)
 
 
-def _end_untold(state: AgentState, now: float) -> Effects:
-    """Take the flows that waited for the first notice."""
+def _release_openings(state: AgentState, now: float) -> Effects:
+    """Admit the opening packets that waited for the first notice."""
     state.registrar.is_greeted = True
     return release_untold(state, now)
 
@@ -63,7 +64,7 @@
     notice: UpstreamNotice,
     sender: str,
 ) -> Effects:
-    """Take whether the availability zone is out of service."""
+    """Record whether the availability zone is out of service."""
     if notice.revision < state.zone_revision:
         return ()
     state.zone_revision = notice.revision
--- a/packages/keelgap-agent/src/keelgap_agent/packets/refusals.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/refusals.py
@@ -1,4 +1,4 @@
-"""Why an upstream gets no new flow now."""
+"""Conditions under which an agent refuses a new flow."""
 
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.events import EnvelopeArrived
@@ -12,14 +12,14 @@
 def find_refusal(
     state: AgentState,
     event: EnvelopeArrived,
-    held: Held,
+    request: Held,
 ) -> str | None:
-    """Return why a new flow is given back; None if it is taken."""
+    """Return why a new flow is refused; None if it is admitted."""
     now = event.now
     if state.stopping_since is not None:
         return 'miss_closed'
     if state.is_evacuated:
-        # Whoever offers is behind, or was when it sent this.
+        # The balancer's catalog is behind, or was when it sent the packet.
         return 'miss_zone_left'
     if state.cold.is_full(now):
         return 'miss_cold'
@@ -29,4 +29,4 @@
         return 'miss_queue_full'
     if not state.features.admission:
         return None
-    return NO_TIME if lacks_time(state, held, event.envelope, now) else None
+    return NO_TIME if lacks_time(state, request, event.envelope, now) else None
--- a/packages/keelgap-agent/src/keelgap_agent/packets/registrar.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/registrar.py
@@ -1,4 +1,4 @@
-"""What an agent keeps of its registrations with the flow directory."""
+"""State of an agent's registrations with the flow directory."""
 
 from typing import Final
 
@@ -8,12 +8,12 @@
 __all__ = ('Registrar', 'Stream')
 
 _MILLISECONDS: Final = 1000
-#: Numbers of starts begin anew after so many milliseconds, some weeks.
-_BOOTS: Final = 0x100000000
+#: Boot ids have 32 bits and wrap around after 49 days.
+_BOOT_IDS: Final = 0x100000000
 
 
 class Stream:
-    """Registrations that one directory node is sent."""
+    """The sequence of registrations sent to one directory node."""
 
     __slots__ = ('began', 'end', 'number', 'sent_at')
 
@@ -27,37 +27,38 @@
 
 
 class Registrar:
-    """What this agent tells the directory of its service."""
+    """What this agent has registered, and what it knows of the directory."""
 
     def __init__(self, own: str, now: float) -> None:
         """Start without a directory."""
-        #: Host of this agent; without one it takes part in no directory.
+        #: Host of this agent; if empty, it takes part in no directory.
         self.own = own
         self.began = now
-        #: Stands for this start of the process, for some weeks.
-        self.boot = int(now * _MILLISECONDS) % _BOOTS
+        #: Identifies this start of the process, until the ids wrap around.
+        self.boot = int(now * _MILLISECONDS) % _BOOT_IDS
         self.directory = NO_DIRECTORY
-        #: Whether a balancer ever told this process of its directory.
+        #: Whether a balancer has sent this process a notice.
         self.is_greeted = False
-        #: Opening packets that wait for that, by key; the latest copy of each.
+        #: Opening packets that wait for the first notice, by flow key; the
+        #: latest copy of each.
         self.untold: dict[bytes, EnvelopeArrived] = {}
-        #: When a balancer was asked to.
+        #: When a balancer was last asked for a notice.
         self.asked_at = float('-inf')
-        #: Towards each node, by host.
+        #: The stream to each directory node, by host.
         self.streams: dict[str, Stream] = {}
         self.stream_number = 0
-        #: Stands for the upstream's id; 0 until a balancer tells.
+        #: Identifies the start of the upstream; 0 until a balancer tells it.
         self.upstream_tag = 0
         self.upstream_revision = 0
-        #: Whether no upstream ran here when this process began.
+        #: Whether no upstream ran here when this process started.
         self.is_older = False
-        #: Whether this process has seen each flow that the upstream holds.
+        #: Whether this process has seen every flow that the upstream has.
         self.is_complete = False
 
     def forget_directory(self) -> None:
-        """Begin as one that no balancer has told anything.
+        """Return to the state before the first notice.
 
-        Callers of flows that wait for that repeat their packets.
+        Opening packets that wait are dropped; their callers retransmit them.
         """
         self.is_greeted = False
         self.untold = {}
--- a/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
@@ -1,9 +1,9 @@
-"""What this agent tells the directory of its service.
+"""Registration of this agent's flows with the directory of its service.
 
-Each flow is registered when its opening packet passes to the upstream, before
-a packet of the open flow can reach a balancer that does not know it.  A
-registration a second, if only an empty one, shows the directory that none was
-lost; without it for some time the directory speaks for this agent no more.
+Each flow is registered when its opening packet is forwarded to the upstream,
+before a packet of the open flow can reach a balancer that does not know it.  At
+least one registration a second, even if empty, shows the directory nodes that
+none was lost.  Without it for some time they no longer cover this agent.
 """
 
 from keelgap.packets.directory import (
@@ -38,14 +38,16 @@
 
 
 def note_upstream(state: AgentState, notice: UpstreamNotice) -> str:
-    """Find out whether this process has seen all flows of the upstream.
-
-    It has if the upstream began after it: nothing ran there when this process
-    began, and the upstream has started a moment ago.  That alone does not tell,
-    since another process may have been here in that moment; nor does the name
-    of a former upstream, which a balancer may take for the present one.
-    Returns the reason why it knows all flows from now on; empty if nothing
-    changed.
+    """Record the upstream, and whether all its flows passed through here.
+
+    They did if the upstream started after this process: nothing ran at its
+    address when this process started, and the upstream has started recently.
+    The recent start is not sufficient, since another agent process may have run
+    here at that moment.  Neither is the id of a former upstream, which a
+    balancer may mistake for the present one.
+
+    Return the reason why this process knows all flows from now on, or an empty
+    string if nothing changed.
     """
     registrar = state.registrar
     if notice.upstream_revision <= registrar.upstream_revision:
@@ -61,9 +63,9 @@
 
 
 def tell_complete(state: AgentState, reason: str, now: float) -> Effects:
-    """Tell the directory at once that it may speak for this agent.
+    """Tell the directory nodes at once that they may cover this agent.
 
-    After an outage of everything verdicts on dead flows wait for it.
+    After an outage of the whole fleet, verdicts on dead flows wait for it.
     """
     registrar = state.registrar
     fields = {
@@ -72,10 +74,10 @@
         'age': round(now - registrar.began, 3),
         'flows': len(state.flows),
     }
-    told = (
+    sent = (
         _continue_stream(state, node, (), now) for node in registrar.streams
     )
-    return (Decided('knows_all_flows', fields), *told)
+    return (Decided('knows_all_flows', fields), *sent)
 
 
 def move(
@@ -83,21 +85,21 @@
     directory: FlowDirectory,
     now: float,
 ) -> Effects:
-    """Register with the nodes of a directory, no more with former ones."""
+    """Register with the nodes of a directory, and no longer with others."""
     registrar = state.registrar
     if directory.shards != registrar.directory.shards:
-        # Flows may belong to other nodes now.
+        # Flows may belong to other shards now.
         registrar.streams.clear()
     is_first = not registrar.directory.shards
     registrar.directory = directory
     nodes = {node for nodes in directory.shards for node in nodes}
     nodes.discard(registrar.own)
     added = sorted(nodes - registrar.streams.keys())
-    begun = tuple(
+    registered = tuple(
         effect for node in added for effect in _begin_stream(state, node, now)
     )
     if not added:
-        return begun
+        return registered
     fields = {
         'revision': directory.revision,
         'nodes': len(nodes),
@@ -106,11 +108,11 @@
         'age': round(now - registrar.began, 3),
         'flows': len(state.flows),
     }
-    return (*begun, Decided('directory_told', fields))
+    return (*registered, Decided('directory_told', fields))
 
 
 def resync(state: AgentState, event: EnvelopeArrived) -> Effects:
-    """Register all flows anew with a node that missed some."""
+    """Register all flows again with a node that missed some."""
     if event.sender not in state.registrar.streams:
         return ()
     return _begin_stream(state, event.sender, event.now)
@@ -122,7 +124,7 @@
     flow: Flow,
     now: float,
 ) -> Effects:
-    """Tell the directory that the upstream may hold a flow."""
+    """Register a flow that the upstream may accept or already has."""
     flow.is_registered = True
     registrar = state.registrar
     return tuple(
@@ -133,34 +135,35 @@
 
 
 def keep_registered(state: AgentState, now: float) -> Effects:
-    """Show the directory from time to time that nothing was lost."""
+    """Send due registrations, even empty ones, and renew old streams."""
     registrar = state.registrar
     effects: list[AgentEffect] = []
     is_old = now - registrar.began >= defaults.FLOW_LIFE_SECONDS
     if is_old and not registrar.is_complete:
-        # Whatever flows another agent passed on, they have ended.
+        # All flows that another agent process forwarded have ended by now.
         registrar.is_complete = True
         effects.extend(tell_complete(state, 'former_flows_ended', now))
     for node, stream in tuple(registrar.streams.items()):
         if now - stream.began >= defaults.RENEW_SECONDS:
             effects.extend(_begin_stream(state, node, now))
-        elif now - stream.sent_at >= _choose_pause(state, now):
+        elif now - stream.sent_at >= _choose_interval(state, now):
             effects.append(_continue_stream(state, node, (), now))
     return tuple(effects)
 
 
-def _choose_pause(state: AgentState, now: float) -> float:
-    """Return how long to wait with the next registration.
+def _choose_interval(state: AgentState, now: float) -> float:
+    """Return the seconds between two registrations with a node.
 
-    A node that starts with this agent may have missed the first ones.  With
-    more shards there are more agents, and more nodes to tell.
+    A node that starts together with this agent may have missed the first ones,
+    so the interval is short in the first second.  It grows with the number of
+    shards, since more shards mean more agents and more nodes to register with.
     """
     registrar = state.registrar
     if now - registrar.began >= defaults.REGISTER_SECONDS:
         return defaults.REGISTER_SECONDS
     shards = len(registrar.directory.shards)
-    pause = defaults.FIRST_REGISTER_SECONDS * shards
-    return min(pause, defaults.REGISTER_SECONDS)
+    interval = defaults.FIRST_REGISTER_SECONDS * shards
+    return min(interval, defaults.REGISTER_SECONDS)
 
 
 def _begin_stream(state: AgentState, node: str, now: float) -> Effects:
@@ -173,7 +176,7 @@
         for key in state.flows
         if node in choose_nodes(registrar.directory, key)
     )
-    # The first datagram tells how many follow.
+    # Set first, so that the first datagram tells how many flows follow.
     stream.end = len(keys)
     effects = []
     sequence = 0
--- a/packages/keelgap-agent/src/keelgap_agent/packets/request_log.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/request_log.py
@@ -1,6 +1,6 @@
-"""What is logged of a request: that it began, and how it ended.
+"""Log lines on the start and the end of requests.
 
-Ids and statuses are read from the packets for the log only; no decision
+Request ids and statuses are read from the packets for the log only; no decision
 depends on them.
 """
 
@@ -21,7 +21,7 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
-    """Remember and log the id of a request that begins in a packet."""
+    """Record and log the id of a request that starts in a packet."""
     if len(flow.requests) >= defaults.MAX_SEEN_REQUESTS:
         return ()
     request_id = state.format.find_request_id(datagram)
@@ -29,15 +29,17 @@
         return ()
     request = SeenRequest(request_id, now)
     flow.requests.append(request)
-    return (_make_begun(state, key, request),)
+    return (_make_log_entry(state, key, request),)
 
 
 def tell_begun(state: AgentState, key: bytes, flow: Flow) -> Effects:
-    """Log the requests of a flow that was searched, and is held here."""
-    return tuple(_make_begun(state, key, request) for request in flow.requests)
+    """Log the requests of a flow that was searched and is owned here."""
+    return tuple(
+        _make_log_entry(state, key, request) for request in flow.requests
+    )
 
 
-def _make_begun(
+def _make_log_entry(
     state: AgentState,
     key: bytes,
     request: SeenRequest,
@@ -58,23 +60,23 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
-    """Log a request with the status that its answer begins with."""
+    """Log a request with the status at the start of its answer."""
     status = state.format.read_status(datagram)
     if not status or not flow.requests:
         return ()
     request = flow.requests.pop(0)
-    taken = now - request.began
+    duration = now - request.began
     fields = {
         'request': request.request_id,
         'flow': state.format.describe_key(key),
         'status': status,
-        'milliseconds': round(taken * 1000, 1),
+        'milliseconds': round(duration * 1000, 1),
         'busy': state.busy,
         'waiting': len(state.held),
     }
     return (
         Decided('request_answered', fields),
-        Observed('answer_seconds', taken),
+        Observed('answer_seconds', duration),
     )
 
 
@@ -84,7 +86,7 @@
     flow: Flow,
     reason: str,
 ) -> Effects:
-    """Log the requests that the upstream will not answer."""
+    """Log the pending requests of a flow, which get no answer."""
     requests = flow.requests
     flow.requests = []
     return tuple(
--- a/packages/keelgap-agent/src/keelgap_agent/packets/untold.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/untold.py
@@ -1,8 +1,10 @@
-"""New flows that come before any balancer told this agent of its directory.
+"""Opening packets that arrive before the first notice of a balancer.
 
-Directory nodes speak for the process that was here before for some seconds,
-and would deny a flow that is not registered with them.  So an opening packet
-waits for the first notice, one round trip; no flow is open meanwhile.
+Until that notice the agent does not know the directory nodes to register its
+flows with.  For some seconds the nodes still answer for the previous agent
+process on this host, and deny every flow that is not registered.  So an opening
+packet waits for one round trip until the notice arrives; no flow is opened in
+the meantime.
 """
 
 from typing import Final
@@ -27,7 +29,7 @@
 
 
 def is_untold(state: AgentState) -> bool:
-    """Return whether no balancer has told of the directory so far."""
+    """Return whether no balancer has sent a notice yet."""
     return bool(state.registrar.own) and not state.registrar.is_greeted
 
 
@@ -36,49 +38,50 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Keep an opening packet, and ask its balancer for a notice."""
+    """Keep an opening packet and request a notice from its balancer."""
     untold = state.registrar.untold
     is_copy = key in untold
     if len(untold) >= defaults.MAX_UNTOLD and not is_copy:
-        # Its caller repeats it.
+        # Its caller retransmits it.
         return (Decided('untold_full'),)
     untold[key] = event
-    told = () if is_copy else _describe(state, key, event)
-    return (*_ask(state, event.sender, event.now), *told)
+    logged = () if is_copy else _log_held(state, key, event)
+    return (*_request_notice(state, event.sender, event.now), *logged)
 
 
 def ask_again(state: AgentState, now: float) -> Effects:
-    """Ask who sent the latest opening again; drop those of callers that left.
+    """Request the notice again and drop openings of callers that gave up.
 
-    The question or its answer may have been lost, or the balancer.
+    The request or its reply may have been lost, or the balancer may be down, so
+    the sender of the latest opening packet is asked.
     """
     untold = state.registrar.untold
-    late = [
+    expired = [
         key
         for key, event in untold.items()
         if now - event.now > OPENING_SECONDS
     ]
-    for key in late:
+    for key in expired:
         untold.pop(key)
-    dropped = tuple(Decided('drop_untold') for _ in late)
+    dropped = tuple(Decided('drop_untold') for _ in expired)
     if not untold:
         return dropped
     latest = max(untold.values(), key=lambda event: event.now)
-    return (*dropped, *_ask(state, latest.sender, now))
+    return (*dropped, *_request_notice(state, latest.sender, now))
 
 
 def release_untold(state: AgentState, now: float) -> Effects:
-    """Take the opening packets that waited for a notice."""
+    """Admit the opening packets that waited for a notice."""
     untold = state.registrar.untold
     state.registrar.untold = {}
     return tuple(
         effect
         for key, event in untold.items()
-        for effect in take_opening(state, key, _delay(event, now))
+        for effect in take_opening(state, key, _shift_to_now(event, now))
     )
 
 
-def _ask(state: AgentState, balancer: str, now: float) -> Effects:
+def _request_notice(state: AgentState, balancer: str, now: float) -> Effects:
     registrar = state.registrar
     if now - registrar.asked_at < defaults.ASK_NOTICE_SECONDS:
         return ()
@@ -86,8 +89,8 @@
     return (state.send(balancer, EnvelopeKind.ASK, b''),)
 
 
-def _delay(event: EnvelopeArrived, now: float) -> EnvelopeArrived:
-    """Return an opening as if it came now; its caller has waited longer."""
+def _shift_to_now(event: EnvelopeArrived, now: float) -> EnvelopeArrived:
+    """Return an opening as if it arrived now, with its times adjusted."""
     envelope = event.envelope
     waited = round((now - event.now) * _MILLISECONDS)
     wait = CallerWait(
@@ -95,11 +98,11 @@
         max(envelope.wait.patience_ms - waited, 0),
         max(envelope.wait.assured_ms - waited, 0),
     )
-    later = envelope._replace(left_ms=envelope.left_ms - waited, wait=wait)
-    return event._replace(now=now, envelope=later)
+    shifted = envelope._replace(left_ms=envelope.left_ms - waited, wait=wait)
+    return event._replace(now=now, envelope=shifted)
 
 
-def _describe(
+def _log_held(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
