--- a/packages/keelgap-agent/src/keelgap_agent/packets/__init__.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/__init__.py
@@ -1,4 +1,5 @@
-"""The agent's side of opaque packet flows.
+"""The agent for opaque packet flows.
 
-Its own upstream's truth lies here: which flows it holds, what is at work.
+The agent is the authority on its upstream: which flows the upstream owns, and
+which requests are in progress there.
 """
--- a/packages/keelgap-agent/src/keelgap_agent/packets/__main__.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/__main__.py
@@ -1,7 +1,8 @@
 """Run a packet agent: ``python -m keelgap_agent.packets SETTINGS``.
 
-Without an argument the path comes from the environment.  This start imports
-only what the first packet needs; ``keelgap-agent run_packets`` does the same.
+Without an argument, the path is read from the environment.  To keep the start
+short, this module imports only what the first packet needs;
+``keelgap-agent run_packets`` does the same.
 """
 
 import sys
@@ -25,7 +26,7 @@
 
 
 def _load_server() -> MakeServer[AgentPacketSettings, PacketSockets]:
-    """Import the server only now: its sockets are open by then."""
+    """Import the server, deferred until its sockets are open."""
     from keelgap_agent.packets.server import (  # noqa: PLC0415, WPS433
         PacketAgent,
     )
--- a/packages/keelgap-agent/src/keelgap_agent/packets/conf.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/conf.py
@@ -17,48 +17,48 @@
 class AgentListenSettings(NamedTuple):
     """Section ``listen``: addresses as ``IPv4:port``, and ports."""
 
-    #: UDP: packets of the upstream.
+    #: UDP address on which the upstream sends its packets.
     upstream: str
-    #: UDP: balancers and agents among themselves, the same port everywhere.
+    #: UDP port for envelopes between balancers and agents, the same everywhere.
     peer_port: int
-    #: Any address with the UDP port that all callers have.
+    #: An address with the UDP port that all callers use; its host is ignored.
     callers: str
-    #: TCP: whether this agent serves.
+    #: TCP address of the readiness page.
     ready: str
-    #: TCP port of the metrics page; 0 for none.
+    #: TCP port of the metrics page; 0 disables the page.
     metrics_port: int = 0
 
 
 class UpstreamSettings(NamedTuple):
-    """Section ``upstream``: the upstream beside this agent."""
+    """Section ``upstream``: the upstream of this agent."""
 
     service: str
-    #: UDP: where it takes packets.
+    #: UDP address on which it receives packets.
     address: str
     #: Whether the whole fleet starts for the first time, so that no upstream
-    #: holds a flow yet.
+    #: has an open flow yet.
     first_start: bool = False
     #: Python module of the platform's adapter.
     adapter: str = 'keelgap_platform.adapter'
 
 
 class WarmUpSettings(NamedTuple):
-    """Section ``warm_up``: new flows of an upstream that is not warm yet.
+    """Section ``warm_up``: rate limit for new flows during warm-up.
 
-    In any second it gets at most ``excess`` times what the operators' table
-    says that it bears, and ``slack`` more.
+    In any second, an upstream that is not warm yet gets at most ``excess``
+    times the rate that the operators' table sets for it, plus ``slack``.
     """
 
     excess: float = 1
     slack: float = 0
 
 
-#: Where the settings file has no such section.
+#: Defaults if the settings file has no such section.
 NO_WARM_UP_SETTINGS: Final = WarmUpSettings()
 
 
 class AgentPacketSettings(NamedTuple):
-    """All sections of a packet agent's settings file."""
+    """All sections of the settings file of a packet agent."""
 
     instance: InstanceSettings
     listen: AgentListenSettings
--- a/packages/keelgap-agent/src/keelgap_agent/packets/effects.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/effects.py
@@ -1,4 +1,4 @@
-"""Effects that the packet agent asks its driver for."""
+"""Effects that the reducer of the packet agent requests from its driver."""
 
 from typing import Any, NamedTuple
 
@@ -15,13 +15,13 @@
 
 
 class SendToUpstream(NamedTuple):
-    """Hand a packet to the upstream."""
+    """Send a packet to the upstream."""
 
     datagram: bytes
 
 
 class SendToCaller(NamedTuple):
-    """Send a packet of the upstream to its caller, unchanged."""
+    """Forward a packet of the upstream, unchanged, to its caller."""
 
     datagram: bytes
 
@@ -41,7 +41,7 @@
 
 
 class Observed(NamedTuple):
-    """Count a duration under a name."""
+    """Record a duration in the histogram of a name."""
 
     name: str
     seconds: float
--- a/packages/keelgap-agent/src/keelgap_agent/packets/events.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/events.py
@@ -1,4 +1,7 @@
-"""Events of the packet agent; ``now`` is in seconds of one clock."""
+"""Events of the packet agent.
+
+``now`` is the time in seconds of one monotonic clock.
+"""
 
 from typing import NamedTuple
 
@@ -14,7 +17,7 @@
 
 
 class EnvelopeArrived(NamedTuple):
-    """A balancer sent an envelope."""
+    """A balancer or another agent sent an envelope."""
 
     now: float
     sender: str
@@ -23,7 +26,7 @@
 
 
 class UpstreamPacket(NamedTuple):
-    """The upstream sent a whole packet, or gave one back."""
+    """The upstream sent a packet, or bounced one."""
 
     now: float
     datagram: bytes
@@ -36,7 +39,7 @@
 
 
 class StopRequested(NamedTuple):
-    """The process was asked to stop in a planned way."""
+    """The process was asked to stop gracefully."""
 
     now: float
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/upstream_probe.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/upstream_probe.py
@@ -1,4 +1,4 @@
-"""Whether an upstream runs already when the agent beside it starts."""
+"""Check at the start of an agent whether its upstream is already running."""
 
 import socket
 from typing import Final
@@ -7,15 +7,15 @@
 
 __all__ = ('is_upstream_down',)
 
-#: Both run on one machine, which answers at once.
+#: Both run on the same machine, so the answer is immediate.
 _PROBE_SECONDS: Final = 0.05
 
 
 def is_upstream_down(address: Address) -> bool:
     """Return whether nothing listens for health probes at an address.
 
-    Only a refused connection says so.  No answer, or any other error, leaves
-    it open, and then the upstream may run.
+    Only a refused connection proves it.  After a timeout or any other error the
+    upstream may be running.
     """
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as probe:
         probe.settimeout(_PROBE_SECONDS)
