--- a/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
@@ -72,7 +72,7 @@
     envelope = event.envelope
     if envelope.slots:
         state.slots = envelope.slots
-    request = _make_queued(state, event)
+    request = _make_queued_request(state, event)
     refusal = find_refusal(state, event, request) or refuse_ejected(
         state, key, event
     )
@@ -118,9 +118,9 @@
     is_first = not request.packets
     if len(request.packets) < defaults.MAX_HELD_PACKETS:
         request.packets[state.format.sequence(datagram)] = event
-    given_up = give_up_ready(state, key, event.now)
-    if given_up:
-        return (*owned, *given_up)
+    abandoned = give_up_ready(state, key, event.now)
+    if abandoned:
+        return (*owned, *abandoned)
     released = release_held(state, event.now)
     if is_first and key in state.held:
         fields = _describe(state, key, request, event.now)
@@ -172,7 +172,7 @@
     return (*effects, *observe_wait(state, request, now))
 
 
-def _make_queued(state: AgentState, event: EnvelopeArrived) -> Held:
+def _make_queued_request(state: AgentState, event: EnvelopeArrived) -> Held:
     wait = event.envelope.wait
     now = event.now
     asked_at = now - wait.age_ms / _MILLISECONDS
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
@@ -151,7 +151,7 @@
             self.members[host] = agent
         agent.take(registration, now)
         for key in registration.keys:
-            self._add_holder(key, host)
+            self._add_owner(key, host)
         if agent.is_covered(now) != (host in self.covered):
             self.coverage_updated_at = float('-inf')
         return agent if is_new else None
@@ -224,7 +224,7 @@
         agent = self.members.get(host)
         return agent is not None and agent.is_recent(now)
 
-    def _add_holder(self, key: bytes, host: str) -> None:
+    def _add_owner(self, key: bytes, host: str) -> None:
         hosts = self.holders.get(key) or ()
         if host not in hosts:
             hosts = (*hosts, host)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
@@ -61,7 +61,7 @@
         self.asked_by: str | None = None
         #: Whether the flow is registered with the directory of the service.
         self.is_registered = False
-        #: Priority and deadlines of later requests by route, if known.
+        #: Priority and deadlines of subsequent requests by route, if known.
         self.terms: RouteTerms | None = None
         #: Sequence number of the upstream's opening packet, until the upstream
         #: sends data.
--- a/packages/keelgap-agent/src/keelgap_agent/packets/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/state.py
@@ -108,7 +108,7 @@
         self.directory = Directory(now)
 
     def note_stamp(self, stamp: Stamp, now: float) -> None:
-        """Record what a balancer knows of the store, for own stamps."""
+        """Record what a balancer knows of the store, to include in own stamps."""
         self.latest_change = max(self.latest_change, stamp.latest_change)
         if stamp.may_lack_entries:
             self.store_unreachable_at = now
@@ -150,7 +150,7 @@
     ) -> SendToPeer:
         """Return the effect that returns a packet to its balancer.
 
-        ``room_ms`` is the time until the upstream has capacity for the flow,
+        ``start_ms`` is the time until the upstream has capacity for the flow,
         if it is returned for lack of capacity, else 0.
         """
         miss = self.send(
--- a/packages/keelgap-agent/src/keelgap_agent/packets/untold.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/untold.py
@@ -38,14 +38,14 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Keep an opening packet and request a notice from its balancer."""
+    """Queue an opening packet and request a notice from its balancer."""
     untold = state.registrar.untold
     is_copy = key in untold
     if len(untold) >= defaults.MAX_UNTOLD and not is_copy:
         # Its caller retransmits it.
         return (Decided('untold_full'),)
     untold[key] = event
-    logged = () if is_copy else _log_held(state, key, event)
+    logged = () if is_copy else _log_queued(state, key, event)
     return (*_request_notice(state, event.sender, event.now), *logged)
 
 
@@ -102,7 +102,7 @@
     return event._replace(now=now, envelope=shifted)
 
 
-def _log_held(
+def _log_queued(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
