--- a/packages/keelgap-agent/src/keelgap_agent/packets/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/state.py
@@ -108,7 +108,7 @@
         self.directory = Directory(now)
 
     def note_stamp(self, stamp: Stamp, now: float) -> None:
-        """Record what a balancer knows of the store, to include in own stamps."""
+        """Record what a balancer knows of the store, to pass it on."""
         self.latest_change = max(self.latest_change, stamp.latest_change)
         if stamp.may_lack_entries:
             self.store_unreachable_at = now
