--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/__init__.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/__init__.py
@@ -1,4 +1,6 @@
-"""Outlier ejection: whether the upstream beside this agent fails requests.
+"""Outlier ejection: detects that this agent's upstream fails requests.
 
-Decisions only; the agent's reducer calls them with what it sees.
+While an upstream is ejected, it gets no new flows but a few trials.  The
+modules only make decisions and do no I/O; the agent's reducer calls them with
+the packets and timers that it handles.
 """
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/acknowledging.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/acknowledging.py
@@ -1,7 +1,8 @@
-"""Whether a caller speaks to this upstream, and not to another one.
+"""Determine whether a caller chose this upstream or another one.
 
-Copies of an opening packet may reach several upstreams, and each answers with
-a number of its own.  The caller acknowledges the one that it chose.
+Copies of an opening packet may reach several upstreams, and each replies with
+its own initial sequence number.  The caller acknowledges the number of the
+upstream that it chose.
 """
 
 from typing import Final
@@ -11,10 +12,10 @@
 
 __all__ = ('acknowledges_upstream', 'is_next')
 
-#: Sequence numbers begin anew after so many.
+#: Sequence numbers have 32 bits and wrap around.
 _SEQUENCE_NUMBERS: Final = 0x100000000
-#: An opening packet may count as an octet.
-_MOST_AHEAD: Final = 1
+#: An opening packet may take up one sequence number.
+_MAX_DISTANCE: Final = 1
 
 
 def acknowledges_upstream(
@@ -22,12 +23,12 @@
     flow: Flow,
     datagram: bytes,
 ) -> bool:
-    """Return whether a caller's first data answer this upstream's opening."""
+    """Return whether the first data acknowledge this upstream's opening."""
     if flow.opened_with is None:
         return False
     return is_next(state.format.acknowledged(datagram), flow.opened_with)
 
 
 def is_next(number: int, opened_with: int) -> bool:
-    """Return whether no octet lies between an opening and a number."""
-    return (number - opened_with) % _SEQUENCE_NUMBERS <= _MOST_AHEAD
+    """Return whether a sequence number directly follows an opening packet."""
+    return (number - opened_with) % _SEQUENCE_NUMBERS <= _MAX_DISTANCE
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/defaults.py
@@ -1,4 +1,4 @@
-"""Default values of outlier ejection, each with its reason."""
+"""Default values of outlier ejection, and the reasons for them."""
 
 from typing import Final
 
@@ -37,104 +37,114 @@
     'TRIAL_SECONDS',
 )
 
-#: What a lost request proves: the log-likelihood ratio of an upstream that
-#: fails two requests in five against one that fails one in fifty, ln(0.4 /
-#: 0.02).  Its caller may not repeat it, so it weighs most.
+#: Weight of a lost request: the log-likelihood ratio of an upstream that fails
+#: two requests in five against one that fails one in fifty, ln(0.4 / 0.02).
+#: A lost request weighs most, since its caller may not be able to repeat it.
 LOST_WEIGHT: Final = 3.0
 
-#: A 5xx answer: the application may be to blame.
+#: Weight of a 5xx response; lower, since the application may be the cause.
 ERROR_WEIGHT: Final = 2.0
 
-#: An upstream with free slots that says it has not run a request: its caller
-#: loses a try only.
+#: Weight of a refusal by an upstream with free slots; lowest, since the
+#: request was not run and its caller loses no more than one try.
 REFUSED_WEIGHT: Final = 1.5
 
-#: What a good answer takes off, by the same ratio: ln(0.98 / 0.6).
+#: Subtracted for a good response, by the same ratio: ln(0.98 / 0.6).
 GOOD_WEIGHT: Final = 0.5
 
-#: An upstream is ejected from this on: two lost requests without an answer
-#: between, three errors, never one.
+#: An upstream is ejected at this score: after two lost requests without a
+#: response in between, or three errors, but never after a single failure.
 EJECTION_SCORE: Final = 5.5
 
-#: The score goes no higher, so that what is remembered of a bad time is
-#: bounded.
+#: Upper bound of each sum, which limits how long a bad period has an effect.
 CEILING: Final = 11.0
 
-#: Errors of one route prove no more than this while others are answered well.
+#: Upper bound of one route's errors while another route is served.
 ONE_ROUTE_SCORE: Final = 4.0
 
-#: Good answers in a row, and how recent, that show that another route is
-#: served: an upstream that fails two requests in five rarely gives as many.
+#: A route counts as served after so many consecutive good responses, of which
+#: the latest is at most so many seconds old.  An upstream that fails two
+#: requests in five rarely gives as many.
 OTHER_ROUTE_ANSWERS: Final = 3
 OTHER_ROUTE_SECONDS: Final = 5.0
 
-#: Routes with a score of their own; others share the last one.
+#: Number of routes with a score of their own; all others share the last one.
 MAX_ROUTES: Final = 64
 
-#: A request without an answer is lost after so many usual times to an answer,
-#: within these bounds: callers wait two seconds and more, and those who would
-#: come next must be spared before that.  The longest holds also until the
-#: first answers show what is usual.
+#: A request without a response counts as lost after this multiple of the mean
+#: response time, within these bounds in seconds.  Callers wait for two seconds
+#: or more, and an unresponsive upstream must be ejected earlier to spare the
+#: next ones.  The upper bound also applies until the first response shows the
+#: usual time.
 SILENCE_ANSWERS: Final = 8
 SHORTEST_SILENCE_SECONDS: Final = 0.8
 LONGEST_SILENCE_SECONDS: Final = 1.5
 
-#: But never before so many usual times: an upstream at a quarter of its pace
-#: is slow, and its callers wait for it longer.
+#: A request never counts as lost before this multiple of the mean response
+#: time, which may raise the upper bound: an upstream at a quarter of its usual
+#: speed is only slow, and its callers wait for longer.
 SLOW_ANSWERS: Final = 5
 
-#: Where others are answered, a silent request counts once so many answers
-#: more than there were requests before it have come: it was overtaken.
+#: If the upstream still responds to other requests, a late request counts as
+#: silent only when it was overtaken: when so many more responses arrived than
+#: twice the number of requests that were in flight before it.
 OVERTAKEN_ANSWERS: Final = 4
 
-#: An opening packet is answered at once by the upstream, which shares its
-#: machine with this agent; callers repeat it after 0.2 s and leave after
-#: 1.4 s, so another upstream can still take them.
+#: Seconds after which an opening packet without a reply counts as a failure.
+#: The upstream runs on the same instance as this agent and replies at once.
+#: Callers repeat the packet after 0.2 s and give up after 1.4 s, so another
+#: upstream can still accept them.
 OPENING_SILENCE_SECONDS: Final = 0.3
 
-#: The programs of a machine start together, and the upstream may need longer:
-#: so soon after the start of this process silent openings prove nothing.
+#: For so many seconds after the start of this process, opening packets without
+#: a reply prove nothing: the processes of an instance start together, and the
+#: upstream may take longer.
 GRACE_SECONDS: Final = 3.0
 
-#: If this process itself did not run for so long, silence proves nothing.
+#: After a pause of this process of so many seconds, missing responses prove
+#: nothing.
 PAUSE_SECONDS: Final = 0.25
 
-#: First and longest wait before an ejected upstream is tried again.
+#: Seconds before an ejected upstream gets a trial: the first time, and at
+#: most.  The wait doubles with each failure.
 SHORTEST_WAIT_SECONDS: Final = 1.0
 LONGEST_WAIT_SECONDS: Final = 8.0
 
-#: Longest wait after a trial that was answered badly, or not opened.  That
-#: costs a caller one try of a request that it may repeat, or a part of a
-#: second; a request without an answer costs it all its time.
+#: Upper bound of the wait after a trial that got an error or was not opened.
+#: Such a trial costs its caller one try of a request that it may repeat, or a
+#: fraction of a second; a request without a response costs all of its time.
 LONGEST_BAD_WAIT_SECONDS: Final = 2.0
 
-#: An upstream that is ejected so soon after its return waits longer.
+#: An upstream that is ejected again within so many seconds after its return
+#: waits longer than the last time.
 REMEMBERED_SECONDS: Final = 8.0
 
-#: Requests of a trial at once, at most; it begins with one.
+#: Upper bound of concurrent trials.  It starts at one, and grows by one with
+#: each good response.
 MAX_TRIALS: Final = 4
 
-#: Good answers in a row that end an ejection: three in a hundred upstreams
-#: that fail two requests in five give as many.
+#: Consecutive good responses that end an ejection.  Of upstreams that fail two
+#: requests in five, three in a hundred give as many.
 RETURN_ANSWERS: Final = 7
 
-#: Score after a return: the next lost request ejects again.
+#: Score after a return, from which a single lost request ejects again.
 RETURN_SCORE: Final = 2.75
 
-#: Where no repeatable request comes for a trial within this, an ordinary one
-#: is taken.
+#: If no request that may be repeated arrives for a trial within this time, any
+#: request is used.
 LAST_RESORT_SECONDS: Final = trials.LAST_RESORT_SECONDS
 
-#: A request of a trial that has no outcome after so long had a caller that
-#: left without a word; or after twice the time in which it would be found
-#: silent, if that is longer.
+#: A trial without an outcome is dropped after so many seconds, or after twice
+#: the response timeout if that is longer: its caller has left without closing
+#: the flow.
 TRIAL_SECONDS: Final = 4.0
 
-#: An opening packet that so many agents gave back is taken: if most
-#: upstreams fail, none is ejected.
+#: An opening packet that so many agents have returned is accepted: if most
+#: upstreams fail, none of them is left out.
 FORCED_HOP: Final = trials.FORCED_HOP
 
-#: Flows given up that are remembered, 300 octets each, and for how long: no
-#: request lasts longer, so callers repeat their packets for no longer.
+#: Upper bound of abandoned flows that are remembered, at 300 octets each, and
+#: the seconds for which they are.  No request lasts longer, so callers repeat
+#: their packets for no longer.
 MAX_GIVEN_UP: Final = 2000
 GIVEN_UP_SECONDS: Final = 30.0
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/ejection.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/ejection.py
@@ -1,4 +1,4 @@
-"""Whether an upstream is ejected, and its trials for the return."""
+"""Ejection of an upstream, and the trials that end it."""
 
 from keelgap_agent.packets.outcomes import defaults
 
@@ -6,7 +6,12 @@
 
 
 class Ejection:
-    """Whether the upstream is ejected, and how its trials went."""
+    """Whether the upstream is ejected, and the results of its trials.
+
+    An ejected upstream gets no new flows for some seconds, except those that
+    no other upstream accepts.  Then it gets a few flows as trials, until
+    enough of them in a row get a good response.
+    """
 
     __slots__ = (
         'forced',
@@ -14,7 +19,7 @@
         'is_out',
         'is_silent',
         'returned_at',
-        'since',
+        'wait_started_at',
         'trial_seconds',
         'trials',
         'wait',
@@ -23,58 +28,58 @@
     )
 
     def __init__(self) -> None:
-        """Start as an upstream that is not ejected."""
+        """Start with an upstream that is not ejected."""
         self.is_out = False
-        #: Whether requests get no answers, rather than bad ones.
+        #: Whether requests get no response, rather than an error.
         self.is_silent = False
-        #: Whether one more request should try it.
+        #: Whether one more request should be sent as a trial.
         self.wants_trial = False
-        #: When it was ejected, or a trial failed.
-        self.since = float('-inf')
-        #: Seconds without any request, before the next trial.
+        #: When the upstream was ejected, or the latest trial failed.
+        self.wait_started_at = float('-inf')
+        #: Seconds from then until the next trial.
         self.wait: float = 0
         self.returned_at = float('-inf')
-        #: Since when it wants a trial and none came.
+        #: Since when a trial is wanted and none has arrived.
         self.wanted_since: float | None = None
-        #: Answered well in a row.
+        #: Number of consecutive good responses.
         self.good_trials = 0
-        #: Flows that try it, and when each was taken.
+        #: When each flow was admitted as a trial, by flow key.
         self.trials: dict[bytes, float] = {}
-        #: How long each may take.
+        #: Seconds after which a trial without an outcome is dropped.
         self.trial_seconds = defaults.TRIAL_SECONDS
-        #: Other flows taken because nobody else took them.
+        #: Other flows, admitted because no other upstream accepted them.
         self.forced: set[bytes] = set()
 
     def eject(self, now: float, *, is_silent: bool) -> None:
-        """Take the upstream out, for longer if that failed a moment ago."""
+        """Eject the upstream, for longer if it returned only recently."""
         self.is_silent = is_silent
         if now - self.returned_at > defaults.REMEMBERED_SECONDS:
             self.wait = 0
         self.is_out = True
-        self._begin_wait(now, defaults.LONGEST_WAIT_SECONDS)
+        self._start_wait(now, defaults.LONGEST_WAIT_SECONDS)
 
     def note_trial(self, key: bytes, now: float, *, is_good: bool) -> bool:
-        """Note the outcome of a flow; return whether a trial failed.
+        """Record the outcome of a flow; return whether it is a failed trial.
 
-        Good answers of flows that nobody else took count, too.
+        Good responses on flows that no other upstream accepted count as well.
         """
         is_trial = self.trials.pop(key, None) is not None
         if not is_trial and not (is_good and key in self.forced):
             return False
         self.forced.discard(key)
         if not is_good:
-            self._begin_wait(now, self._choose_longest())
+            self._start_wait(now, self._compute_longest_wait())
             return True
         self.good_trials += 1
         self.update(now)
         return False
 
     def has_passed(self) -> bool:
-        """Return whether the trials show that the upstream serves again."""
+        """Return whether the trials show that the upstream has recovered."""
         return self.good_trials >= defaults.RETURN_ANSWERS
 
     def end(self, now: float) -> None:
-        """Take the upstream in again."""
+        """End the ejection."""
         self.is_out = False
         self.returned_at = now
         self.trials.clear()
@@ -82,15 +87,16 @@
         self.update(now)
 
     def take(self, key: bytes, now: float, *, is_trial: bool) -> bool:
-        """Return whether a new flow is taken as a trial.
+        """Admit a new flow as a trial if one is wanted; return whether it is.
 
-        Besides those meant for it any flow, if none of them came for long.
+        Flows that a balancer offers as a trial are preferred.  If none arrives
+        for some seconds, any flow is admitted.
         """
         self.update(now)
-        since = self.wanted_since
-        if since is None:
+        wanted_since = self.wanted_since
+        if wanted_since is None:
             return False
-        waited = now - since
+        waited = now - wanted_since
         if not is_trial and waited < defaults.LAST_RESORT_SECONDS:
             return False
         self.trials[key] = now
@@ -99,40 +105,40 @@
         return True
 
     def is_taken(self, key: bytes) -> bool:
-        """Return whether a flow was taken since the ejection."""
+        """Return whether a flow was admitted since the ejection."""
         return key in self.trials or key in self.forced
 
     def forget(self, key: bytes) -> None:
-        """Note that a flow ended without an outcome."""
+        """Discard a flow that ended without an outcome."""
         self.trials.pop(key, None)
         self.forced.discard(key)
 
     def update(self, now: float) -> None:
-        """Find out whether one more trial is wanted."""
+        """Drop expired trials, and compute whether one more is wanted."""
         limit = now - self.trial_seconds
         self.trials = {
             key: at for key, at in self.trials.items() if at >= limit
         }
-        most = min(self.good_trials + 1, defaults.MAX_TRIALS)
+        max_trials = min(self.good_trials + 1, defaults.MAX_TRIALS)
         self.wants_trial = (
             self.is_out
-            and now - self.since >= self.wait
-            and len(self.trials) < most
+            and now - self.wait_started_at >= self.wait
+            and len(self.trials) < max_trials
         )
         if not self.wants_trial:
             self.wanted_since = None
         elif self.wanted_since is None:
             self.wanted_since = now
 
-    def _choose_longest(self) -> float:
+    def _compute_longest_wait(self) -> float:
         if self.is_silent:
             return defaults.LONGEST_WAIT_SECONDS
         return max(self.wait, defaults.LONGEST_BAD_WAIT_SECONDS)
 
-    def _begin_wait(self, now: float, longest: float) -> None:
-        longer = max(2 * self.wait, defaults.SHORTEST_WAIT_SECONDS)
-        self.wait = min(longer, longest)
-        self.since = now
+    def _start_wait(self, now: float, longest: float) -> None:
+        backoff = max(2 * self.wait, defaults.SHORTEST_WAIT_SECONDS)
+        self.wait = min(backoff, longest)
+        self.wait_started_at = now
         self.good_trials = 0
         self.trials.clear()
         self.forced.clear()
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/giving_up.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/giving_up.py
@@ -1,17 +1,20 @@
-"""Give flows up that wait for an upstream which fails.
-
-None of them is open: no packet behind the opening one has reached the
-upstream, nor will one.  Where the upstream has not answered the opening
-packet, that goes back to the balancer.  Otherwise the caller holds the
-upstream's answer, and counts its flow as open.  If the upstream is silent, a
-reset lets those who may repeat their requests do so at once; the others would
-wait for nothing.  It is sent only if the first data acknowledge this upstream,
-for the caller may have chosen another one.  If the upstream gives bad answers,
-those who wait get theirs: some are good, and the others come as soon as a
-reset would.
-
-An agent that is younger than its upstream gives up nothing: what looks new to
-it may be a late copy of a flow that is open.
+"""Abandon queued flows when the upstream fails.
+
+None of these flows is open: the upstream has received nothing but the opening
+packet, and will receive nothing else.
+
+- If the upstream has not replied to the opening packet, that packet is
+  returned to the balancer.
+- If it has replied, the caller considers the flow open.  If the upstream is
+  unresponsive, the flow is reset: callers that may repeat their requests can
+  do so at once, and the others would wait in vain.  The reset is sent only if
+  the caller's first data acknowledge this upstream, since the caller may have
+  chosen another one.
+- If the upstream responds with errors, the flows stay queued: some responses
+  are good, and the errors arrive as soon as a reset would.
+
+An agent that started later than its upstream abandons nothing: a flow that
+looks new to it may be a late copy of one that is open.
 """
 
 from keelgap.packets.envelopes import OPENING_KINDS
@@ -39,7 +42,7 @@
 
 
 def give_up_all(state: AgentState, now: float) -> Effects:
-    """Give up what waits, when the upstream is ejected."""
+    """Abandon the queued flows of an ejected upstream."""
     effects: list[AgentEffect] = []
     for key in tuple(state.held):
         if state.outcomes.ejection.is_taken(key):
@@ -52,24 +55,26 @@
 
 
 def give_back_opening(state: AgentState, key: bytes, now: float) -> Effects:
-    """Give a flow back whose opening packet the upstream did not answer.
+    """Return a flow whose opening packet got no reply to its balancer.
 
-    Balancers of earlier releases might reset it, though it is open elsewhere.
+    It is not returned to balancers of earlier releases: they might reset the
+    flow although it is open at another upstream.
     """
     event = state.outcomes.unopened.pop(key)
-    is_understood = bool(state.balancers.report_formats.get(event.sender))
-    if not state.registrar.is_complete or not is_understood:
+    is_supported = bool(state.balancers.report_formats.get(event.sender))
+    if not state.registrar.is_complete or not is_supported:
         return ()
     fields = _describe(state, key, now - event.now)
-    # Data show that the caller chose another upstream, so only they matter.
+    # Data show that the caller chose another upstream, so if there are any,
+    # only they are returned.
     events = tuple(state.held[key].packets.values()) or (event,)
     _forget(state, key, now, is_reset=False)
-    misses = [state.give_back(one.sender, one.envelope) for one in events]
-    return *misses, Decided('miss_unopened', fields)
+    returned = [state.give_back(one.sender, one.envelope) for one in events]
+    return *returned, Decided('miss_unopened', fields)
 
 
 def give_up_ready(state: AgentState, key: bytes, now: float) -> Effects:
-    """Reset a flow whose request came, while the upstream is ejected."""
+    """Reset a flow whose request is queued for an unresponsive upstream."""
     ejection = state.outcomes.ejection
     held = state.held[key]
     is_known = state.registrar.is_complete
@@ -79,7 +84,7 @@
         return ()
     datagram = next(iter(held.packets.values())).envelope.content
     flow = state.flows[key]
-    # Data that passed have opened the flow.
+    # Data that were sent to the upstream have opened the flow.
     is_open = flow.caller_sequence is not None
     if is_open or not acknowledges_upstream(state, flow, datagram):
         return ()
@@ -94,27 +99,27 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Answer a later packet of a flow that was given up.
+    """Reply to a later packet of an abandoned flow.
 
-    It must not reach the upstream: the request may run elsewhere by now.
+    It must not reach the upstream: the request may already run elsewhere.
     """
     envelope = event.envelope
     datagram = envelope.content
     is_opening = envelope.kind in OPENING_KINDS
-    # A caller that was reset may open a new flow from the same port.
+    # After a reset the caller may open a new flow from the same port.
     is_new = is_opening and not state.format.copies(datagram)
     if is_new or not state.outcomes.given_up[key].is_reset:
         miss = state.give_back(event.sender, envelope)
         return miss, Decided('miss_given_up')
-    is_over = state.format.flags(datagram) & ENDS_FLOW
-    if is_over or is_opening:
+    is_end = state.format.flags(datagram) & ENDS_FLOW
+    if is_end or is_opening:
         return (Decided('drop_given_up'),)
     reset = SendToCaller(state.format.make_reset(datagram))
     return reset, Decided('reset_given_up')
 
 
 def drop_given_up() -> Effects:
-    """Drop what the upstream says on a flow that was given up."""
+    """Drop a packet of the upstream that belongs to an abandoned flow."""
     return (Decided('drop_given_up'),)
 
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/judging.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/judging.py
@@ -1,4 +1,4 @@
-"""Find out how requests end, from the packets and from their absence."""
+"""Determine how requests end, from packets and from missing packets."""
 
 from typing import Final
 
@@ -30,11 +30,12 @@
 _SYN: Final = int(Flags.SYN)
 _FIN: Final = int(Flags.FIN)
 _RST: Final = int(Flags.RST)
-#: Statuses of an upstream that failed begin here.
-_ERRORS: Final = 500
-#: May be said for want of room, with or without a word on the request.
+#: The lowest HTTP status of a server error.
+_FIRST_SERVER_ERROR: Final = 500
+#: 503 Service Unavailable: may only mean a lack of capacity, whether or not
+#: the response says that the request was not run.
 _UNAVAILABLE: Final = 503
-#: Of a request that does not belong to this upstream.
+#: 421 Misdirected Request: the request does not belong to this upstream.
 _MISDIRECTED: Final = 421
 
 
@@ -43,7 +44,7 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> None:
-    """Note that the upstream gets the opening packet of a flow."""
+    """Record that the opening packet of a flow is sent to the upstream."""
     if state.features.ejection:
         state.outcomes.unopened[key] = event
 
@@ -55,10 +56,11 @@
     datagram: bytes,
     now: float,
 ) -> None:
-    """Note that the upstream gets data of a request.
+    """Record that data of a request is sent to the upstream.
 
-    Only of a flow that it surely holds: those that this process has not seen
-    open may be over, and their caller may have chosen another upstream.
+    Only flows that the upstream is known to hold are tracked.  A flow that
+    this process has not seen open may already be over, and its caller may
+    have chosen another upstream.
     """
     if not state.features.ejection or flow.busy_since is None:
         return
@@ -79,7 +81,7 @@
     flow: Flow,
     datagram: bytes,
 ) -> None:
-    """Note that the upstream answered an opening packet."""
+    """Record that the upstream replied to the opening packet of a flow."""
     if state.format.flags(datagram) & _SYN:
         flow.opened_with = state.format.sequence(datagram)
         state.outcomes.unopened.pop(key, None)
@@ -92,70 +94,76 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
-    """Judge a packet of the upstream, before its request ends."""
+    """Record the outcome that a packet from the upstream shows.
+
+    To be called before the state is told that the request has ended.
+    """
     if not state.features.ejection:
         return ()
     outcomes = state.outcomes
-    is_unopened = outcomes.unopened.pop(key, None) is not None
+    was_unanswered = outcomes.unopened.pop(key, None) is not None
     if state.format.data_length(datagram):
-        return _judge_data(state, key, flow, datagram, now)
+        return _record_data_outcome(state, key, flow, datagram, now)
     if flow.work in outcomes.stuck:
-        # It counted when its answer was overdue.
+        # It was already counted as silent.
         return ()
     flags = state.format.flags(datagram)
-    if flags & _RST and (flow.work is not None or is_unopened):
+    if flags & _RST and (flow.work is not None or was_unanswered):
         return note_outcome(state, key, Outcome.RESET, now)
-    if flags & _FIN and _is_close_early(state, flow, datagram):
+    if flags & _FIN and _closed_before_response(state, flow, datagram):
         return note_outcome(state, key, Outcome.CLOSED, now)
     return ()
 
 
-def _is_close_early(state: AgentState, flow: Flow, datagram: bytes) -> bool:
-    """Return whether the upstream closed a flow before any answer.
+def _closed_before_response(
+    state: AgentState, flow: Flow, datagram: bytes
+) -> bool:
+    """Return whether the upstream closed a flow before any response.
 
-    The packet that closes may overtake those with the answer; its number
-    tells.  On a flow with earlier answers it proves nothing: an upstream that
-    leaves closes after one, and may not have seen the next request.
+    The closing packet may overtake the packets of the response, so its
+    sequence number decides.  On a flow with earlier responses a close proves
+    nothing: an upstream that shuts down closes after a response, and may not
+    have seen the next request.
     """
     if flow.work is None or flow.opened_with is None:
         return False
     return is_next(state.format.sequence(datagram), flow.opened_with)
 
 
-def _judge_data(
+def _record_data_outcome(
     state: AgentState,
     key: bytes,
     flow: Flow,
     datagram: bytes,
     now: float,
 ) -> Effects:
-    is_overtaken = flow.ended and flow.opened_with is not None
+    is_overtaken_by_close = flow.ended and flow.opened_with is not None
     flow.opened_with = None
-    if flow.work is None and not is_overtaken:
+    if flow.work is None and not is_overtaken_by_close:
         return ()
     state.outcomes.note_answer(flow.work)
-    # A request whose flow was closed first counts no more.
+    # The busy count no longer includes a request whose flow was closed first.
     at_work = state.busy + (flow.work is None)
-    outcome = _find_outcome(state, datagram, at_work)
+    outcome = _classify_response(state, datagram, at_work)
     if outcome is None:
         state.outcomes.ejection.forget(key)
         return ()
     return note_outcome(state, key, outcome, now)
 
 
-def _find_outcome(
+def _classify_response(
     state: AgentState,
     datagram: bytes,
     at_work: int,
 ) -> Outcome | None:
-    """Return what an answer says; None if it proves nothing."""
+    """Return the outcome that a response shows; None if it proves nothing."""
     status = state.format.read_status(datagram)
     is_full = at_work > state.slots
     if state.format.says_not_run(datagram):
         if is_full or status == _MISDIRECTED:
             return None
         return Outcome.REFUSED
-    if status < _ERRORS:
+    if status < _FIRST_SERVER_ERROR:
         return Outcome.ANSWERED
     if is_full and status == _UNAVAILABLE:
         return None
@@ -169,35 +177,39 @@
     packet: bytes,
     now: float,
 ) -> Effects:
-    """Judge a packet that the upstream gave back.
+    """Record the outcome that a packet bounced by the upstream shows.
 
-    One of a flow that was open says only that the upstream has started anew;
-    the caller's first data that it lost the flow a moment after taking it.
+    A bounce on a flow that was open only shows that the upstream restarted.
+    A bounce of the caller's first data shows that the upstream lost the flow
+    just after it accepted it.
     """
-    is_lost = flow.work is not None and flow.opened_with is not None
-    if not is_lost or not state.format.data_length(packet):
+    was_just_accepted = flow.work is not None and flow.opened_with is not None
+    if not was_just_accepted or not state.format.data_length(packet):
         return ()
     return note_outcome(state, key, Outcome.FORGOTTEN, now)
 
 
 def judge_silence(state: AgentState, now: float) -> Effects:
-    """Judge what has had no answer for too long."""
+    """Record a failure for what the upstream has not answered in time."""
     if not state.features.ejection:
         return ()
-    patience = _choose_patience(state)
+    response_timeout = _compute_response_timeout(state)
     state.outcomes.ejection.trial_seconds = max(
         defaults.TRIAL_SECONDS,
-        2 * patience,
+        2 * response_timeout,
     )
     state.outcomes.tick(now)
-    return (*_judge_openings(state, now), *_judge_requests(state, now))
+    return (
+        *_detect_unanswered_openings(state, now),
+        *_detect_silent_requests(state, now),
+    )
 
 
-def _judge_openings(state: AgentState, now: float) -> Effects:
+def _detect_unanswered_openings(state: AgentState, now: float) -> Effects:
     outcomes = state.outcomes
     limit = now - defaults.OPENING_SILENCE_SECONDS
-    is_young = now - outcomes.began < defaults.GRACE_SECONDS
-    if is_young or outcomes.awake_since > limit:
+    is_starting = now - outcomes.began < defaults.GRACE_SECONDS
+    if is_starting or outcomes.awake_since > limit:
         return ()
     late = [
         key
@@ -210,48 +222,52 @@
             outcomes.unopened.pop(key, None)
             continue
         if not effects:
-            # One short pause makes all of them late.
+            # A single short pause makes all of them late, so count it once.
             effects.extend(note_outcome(state, key, Outcome.UNOPENED, now))
         if key in outcomes.unopened:
             effects.extend(give_back_opening(state, key, now))
     return tuple(effects)
 
 
-def _judge_requests(state: AgentState, now: float) -> Effects:
+def _detect_silent_requests(state: AgentState, now: float) -> Effects:
     outcomes = state.outcomes
-    limit = now - _choose_patience(state)
+    limit = now - _compute_response_timeout(state)
     if outcomes.awake_since > limit:
         return ()
     effects: list[AgentEffect] = []
-    for work in tuple(outcomes.at_work):
-        if work.latest > limit:
+    for request in tuple(outcomes.at_work):
+        if request.latest > limit:
             break
-        if _is_overdue(state, work):
-            outcomes.judge_silent(work)
-            effects.extend(note_outcome(state, work.key, Outcome.SILENT, now))
+        if _counts_as_silent(state, request):
+            outcomes.judge_silent(request)
+            effects.extend(
+                note_outcome(state, request.key, Outcome.SILENT, now)
+            )
     return tuple(effects)
 
 
-def _choose_patience(state: AgentState) -> float:
-    """Return how long a request may go without an answer."""
-    answer = state.answer_seconds
-    longest = max(
+def _compute_response_timeout(state: AgentState) -> float:
+    """Return after how many seconds without a response a request is late."""
+    response_time = state.answer_seconds
+    upper_bound = max(
         defaults.LONGEST_SILENCE_SECONDS,
-        defaults.SLOW_ANSWERS * answer,
+        defaults.SLOW_ANSWERS * response_time,
     )
     if not state.outcomes.answers:
-        return longest
-    usual = min(defaults.SILENCE_ANSWERS * answer, longest)
-    return max(usual, defaults.SHORTEST_SILENCE_SECONDS)
+        return upper_bound
+    expected = min(defaults.SILENCE_ANSWERS * response_time, upper_bound)
+    return max(expected, defaults.SHORTEST_SILENCE_SECONDS)
 
 
-def _is_overdue(state: AgentState, work: Work) -> bool:
-    """Return whether nobody is answered, or those who came later are.
+def _counts_as_silent(state: AgentState, request: Work) -> bool:
+    """Return whether a request that is late counts as silent.
 
-    While the upstream is ejected answers are rare, and prove nothing.
+    It does if the upstream has sent no response at all since the request, or
+    so many that later requests have overtaken it.  While the upstream is
+    ejected, responses are rare and prove nothing, so it always does.
     """
     if state.outcomes.ejection.is_out:
         return True
-    answers = state.outcomes.answers - work.answers
-    overtaken = 2 * work.before + defaults.OVERTAKEN_ANSWERS
-    return not answers or answers >= overtaken
+    answers = state.outcomes.answers - request.answers
+    overtaking = 2 * request.before + defaults.OVERTAKEN_ANSWERS
+    return not answers or answers >= overtaking
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/refusing.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/refusing.py
@@ -1,4 +1,4 @@
-"""Which new flows an ejected upstream still gets."""
+"""Refusal of new flows for an ejected upstream."""
 
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap_agent.packets.events import EnvelopeArrived
@@ -13,10 +13,10 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> str | None:
-    """Return why an ejected upstream does not get a flow; None if it does.
+    """Return why a new flow is refused; None if the upstream gets it.
 
-    It gets trials, and those that others gave back: if most upstreams fail,
-    none is ejected.
+    An ejected upstream gets trials, and flows that several other agents have
+    returned: if most upstreams fail, none of them is left out.
     """
     outcomes = state.outcomes
     ejection = outcomes.ejection
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/score.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/score.py
@@ -1,8 +1,8 @@
-"""How much the outcomes of requests speak against an upstream.
+"""Score an upstream by the outcomes of its requests; higher is worse.
 
-A cumulative sum (Page 1954): a failure adds by what it proves, a good answer
-takes some off, and the sum never falls below 0.  Errors that an upstream
-answers with are summed for each route, since an application may fail on one
+The score is a cumulative sum (CUSUM, Page 1954).  A failure adds its weight
+of evidence, a good response subtracts some, and the sum never falls below 0.
+Error responses are summed by route, since an application may fail on one
 route only.
 """
 
@@ -20,19 +20,19 @@
     """How a request ended at the upstream."""
 
     ANSWERED = 'answered'
-    #: The upstream had room, and said that it did not run the request.
+    #: The upstream had capacity, but said that it did not run the request.
     REFUSED = 'refused'
-    #: An answer with status 5xx.
+    #: A response with a 5xx status.
     ERROR = 'error'
-    #: The flow was reset with the request at work.
+    #: The flow was reset while the request was in flight.
     RESET = 'reset'
-    #: The flow was closed before the answer began.
+    #: The flow was closed before the response began.
     CLOSED = 'closed'
-    #: The upstream no longer knew a flow that it had accepted.
+    #: The upstream lost a flow that it had accepted.
     FORGOTTEN = 'forgotten'
-    #: No answer for much longer than usual.
+    #: No response for much longer than usual.
     SILENT = 'silent'
-    #: The opening packet of a flow was not answered.
+    #: The opening packet of a flow got no reply.
     UNOPENED = 'unopened'
 
 
@@ -43,65 +43,67 @@
 
 
 class _RouteScore:
-    """The sum of one route's errors."""
+    """The sum of the error responses of one route."""
 
-    __slots__ = ('good_at', 'in_a_row', 'total')
+    __slots__ = ('last_good_at', 'consecutive_good', 'total')
 
     def __init__(self) -> None:
         self.total: float = 0
-        #: Good answers since the latest error.
-        self.in_a_row = 0
-        self.good_at = float('-inf')
+        #: Good responses since the latest error.
+        self.consecutive_good = 0
+        self.last_good_at = float('-inf')
 
     def is_served(self, now: float) -> bool:
-        """Return whether requests of this route are answered well."""
+        """Return whether requests of this route currently succeed."""
         return (
-            self.in_a_row >= defaults.OTHER_ROUTE_ANSWERS
-            and now - self.good_at < defaults.OTHER_ROUTE_SECONDS
+            self.consecutive_good >= defaults.OTHER_ROUTE_ANSWERS
+            and now - self.last_good_at < defaults.OTHER_ROUTE_SECONDS
         )
 
 
 class Score:
-    """What the outcomes of all requests prove together."""
+    """The combined evidence of all outcomes of an upstream's requests."""
 
-    __slots__ = ('_by_route', '_lost')
+    __slots__ = ('_by_route', '_lost_total')
 
     def __init__(self, lost: float = 0) -> None:
-        """Start as an upstream of which nothing bad is known."""
-        self._lost = lost
+        """Start without errors, with a given sum of lost requests."""
+        self._lost_total = lost
         self._by_route: dict[bytes, _RouteScore] = {}
 
     def note_good(self, route: bytes, now: float) -> None:
-        """Note a good answer."""
-        self._lost = max(self._lost - defaults.GOOD_WEIGHT, 0)
-        score = self._find(route)
+        """Subtract the weight of a good response."""
+        self._lost_total = max(self._lost_total - defaults.GOOD_WEIGHT, 0)
+        score = self._get_route_score(route)
         score.total = max(score.total - defaults.GOOD_WEIGHT, 0)
-        score.in_a_row += 1
-        score.good_at = now
+        score.consecutive_good += 1
+        score.last_good_at = now
 
     def note_failure(self, outcome: Outcome, route: bytes) -> None:
-        """Note a failed request."""
+        """Add the weight of a failed request."""
         weight = _ROUTE_WEIGHTS.get(outcome)
         if weight is None:
-            self._lost = _add(self._lost, defaults.LOST_WEIGHT)
+            self._lost_total = _add_capped(
+                self._lost_total, defaults.LOST_WEIGHT
+            )
             return
-        score = self._find(route)
-        score.total = _add(score.total, weight)
-        score.in_a_row = 0
+        score = self._get_route_score(route)
+        score.total = _add_capped(score.total, weight)
+        score.consecutive_good = 0
 
     def take_back_silence(self) -> None:
-        """Note that a request which counted as silent was answered."""
-        self._lost = max(self._lost - defaults.LOST_WEIGHT, 0)
+        """Undo a failure: a request counted as silent got a response."""
+        self._lost_total = max(self._lost_total - defaults.LOST_WEIGHT, 0)
 
     def compute(self, now: float) -> float:
-        """Return the sum, with each route bounded if others are served."""
-        return self._lost + sum(
-            self._bound(route, score.total, now)
+        """Return the sum, each route's part capped if another one is served."""
+        return self._lost_total + sum(
+            self._cap(route, score.total, now)
             for route, score in self._by_route.items()
             if score.total
         )
 
-    def _bound(self, route: bytes, total: float, now: float) -> float:
+    def _cap(self, route: bytes, total: float, now: float) -> float:
         if total <= defaults.ONE_ROUTE_SCORE:
             return total
         is_other_served = any(
@@ -111,7 +113,7 @@
         )
         return defaults.ONE_ROUTE_SCORE if is_other_served else total
 
-    def _find(self, route: bytes) -> _RouteScore:
+    def _get_route_score(self, route: bytes) -> _RouteScore:
         score = self._by_route.get(route)
         if score is None:
             if len(self._by_route) >= defaults.MAX_ROUTES:
@@ -121,5 +123,5 @@
         return score
 
 
-def _add(total: float, weight: float) -> float:
+def _add_capped(total: float, weight: float) -> float:
     return min(total + weight, defaults.CEILING)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/telling.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/telling.py
@@ -1,4 +1,4 @@
-"""Tell balancers of a change at once."""
+"""Reports to balancers about changes of the ejection."""
 
 from keelgap.packets.envelopes import EnvelopeKind, pack_report
 from keelgap_agent.packets.effects import AgentEffect, SendToPeer
@@ -10,10 +10,11 @@
 
 
 def make_report_to(state: AgentState, host: str) -> SendToPeer:
-    """Return a report in the form that a balancer reads.
+    """Return a report in the format that a balancer understands.
 
-    One of an earlier release would take an ejected upstream for one that has
-    closed, and never try it.  It is not told, and finds out flow by flow.
+    A balancer of an earlier release would treat an ejected upstream as closed
+    and never send it a trial.  Its reports leave the ejection out, and each
+    flow that it offers is refused individually.
     """
     report_format = state.balancers.report_formats.get(host, 0)
     report = state.make_report()
@@ -24,10 +25,10 @@
 
 
 def tell_news(state: AgentState, effects: Effects) -> Effects:
-    """Put reports of a changed judgement before all else that is sent.
+    """Return the effects, preceded by reports if the ejection has changed.
 
-    So a balancer that gets a flow back knows the reason already, and offers no
-    further one.
+    A balancer to which a flow is returned then already knows the reason, and
+    offers no further flows.
     """
     outcomes = state.outcomes
     if not outcomes.has_news and not outcomes.untold:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/verdicts.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/verdicts.py
@@ -1,4 +1,4 @@
-"""What follows from the outcome of a request."""
+"""Update the score of the upstream, and eject it or return it to service."""
 
 from typing import Final
 
@@ -12,8 +12,9 @@
 
 Effects = tuple[AgentEffect, ...]
 _MILLISECONDS: Final = 1000
-#: A flow key holds address and port of the caller, then of the route.
-_ROUTE_AT: Final = 6
+#: A flow key holds the address and port of the caller (6 octets), then those
+#: of the route.
+_ROUTE_OFFSET: Final = 6
 
 
 def note_outcome(
@@ -22,19 +23,21 @@
     outcome: Outcome,
     now: float,
 ) -> Effects:
-    """Add an outcome to the score, and decide on the upstream."""
+    """Add an outcome to the score, and update the ejection accordingly."""
     outcomes = state.outcomes
-    route = key[_ROUTE_AT:]
+    route = key[_ROUTE_OFFSET:]
     if outcome is Outcome.ANSWERED:
         outcomes.score.note_good(route, now)
-        return _note_good(state, key, now) if outcomes.ejection.is_out else ()
+        return (
+            _record_success(state, key, now) if outcomes.ejection.is_out else ()
+        )
     outcomes.score.note_failure(outcome, route)
-    failed = Decided(f'outcome_{outcome.value}')
+    failure = Decided(f'outcome_{outcome.value}')
     if outcomes.ejection.is_out:
-        return (failed, *_note_failure(state, key, outcome, now))
+        return (failure, *_record_failure(state, key, outcome, now))
     if outcomes.score.compute(now) < defaults.EJECTION_SCORE:
-        return (failed,)
-    return (failed, *_eject(state, key, outcome, now))
+        return (failure,)
+    return (failure, *_eject(state, key, outcome, now))
 
 
 def _eject(
@@ -44,7 +47,7 @@
     now: float,
 ) -> Effects:
     outcomes = state.outcomes
-    is_silent = _shows_silence(state, outcome)
+    is_silent = _proves_unresponsive(state, outcome)
     outcomes.ejection.eject(now, is_silent=is_silent)
     outcomes.has_news = True
     fields = {
@@ -57,7 +60,7 @@
     return (ejected, *give_up_all(state, now))
 
 
-def _note_failure(
+def _record_failure(
     state: AgentState,
     key: bytes,
     outcome: Outcome,
@@ -65,7 +68,7 @@
 ) -> Effects:
     ejection = state.outcomes.ejection
     if key not in ejection.trials:
-        return _note_silence(state, outcome, now)
+        return _check_responsiveness(state, outcome, now)
     ejection.is_silent = outcome is Outcome.SILENT
     ejection.note_trial(key, now, is_good=False)
     state.outcomes.has_news = True
@@ -73,32 +76,32 @@
     return (trial, *give_up_all(state, now))
 
 
-def _note_silence(
+def _check_responsiveness(
     state: AgentState,
     outcome: Outcome,
     now: float,
 ) -> Effects:
-    """Give up what waits, if an upstream ejected before is found silent."""
+    """Abandon queued flows if an ejected upstream proves unresponsive."""
     ejection = state.outcomes.ejection
-    if ejection.is_silent or not _shows_silence(state, outcome):
+    if ejection.is_silent or not _proves_unresponsive(state, outcome):
         return ()
     ejection.is_silent = True
     return give_up_all(state, now)
 
 
-def _shows_silence(state: AgentState, outcome: Outcome) -> bool:
-    """Return whether those who wait would wait for nothing.
+def _proves_unresponsive(state: AgentState, outcome: Outcome) -> bool:
+    """Return whether queued requests would get no response at all.
 
-    It takes as many silent requests as would eject an upstream, and an answer
-    before them: until then nobody knows how long answers take.
+    It takes as many silent requests as would eject an upstream, and at least
+    one response before: until then the usual response time is not known.
     """
     if outcome is not Outcome.SILENT or not state.outcomes.answers:
         return False
-    proof = len(state.outcomes.stuck) * defaults.LOST_WEIGHT
-    return proof >= defaults.EJECTION_SCORE
+    silence_score = len(state.outcomes.stuck) * defaults.LOST_WEIGHT
+    return silence_score >= defaults.EJECTION_SCORE
 
 
-def _note_good(state: AgentState, key: bytes, now: float) -> Effects:
+def _record_success(state: AgentState, key: bytes, now: float) -> Effects:
     outcomes = state.outcomes
     ejection = outcomes.ejection
     if not ejection.is_taken(key):
