--- a/packages/keelgap-agent/src/keelgap_agent/packets/room/__init__.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/room/__init__.py
@@ -1,4 +1,4 @@
-"""How much room an upstream has, and who surely gets none of it."""
+"""Capacity of an upstream, and early refusal of requests that exceed it."""
 
 from keelgap_agent.packets.room.estimates import Room
 from keelgap_agent.packets.room.order import choose_under_pressure
--- a/packages/keelgap-agent/src/keelgap_agent/packets/room/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/room/defaults.py
@@ -1,4 +1,4 @@
-"""Default values of early refusal, each with its reason."""
+"""Default values of early refusal, and the reasons for them."""
 
 from typing import Final
 
@@ -19,58 +19,63 @@
     'SURE_FACTOR',
 )
 
-#: Answers of an upstream at work all the time that must have been seen before
-#: anybody is refused: fewer say too little of how long requests take.
+#: Responses of a fully used upstream that are needed before any request is
+#: refused.  Fewer say too little about how long requests take.
 FEWEST_ANSWERS: Final = 10
 
-#: Weight of the latest answer in the pace.  Twenty answers are half a second
-#: of an upstream that turned slow, a fraction of what callers wait.
+#: Weight of the latest response in the mean response interval.  An upstream
+#: that turned slow sends twenty responses in half a second, which is a
+#: fraction of the time that callers wait.
 PACE_WEIGHT: Final = 0.05
 
-#: Arrivals of the last second tell how many more urgent ones will overtake.
+#: The arrivals of so many seconds predict how many requests of a higher
+#: priority will overtake a queued one.
 OVERTAKING_SECONDS: Final = 1.0
 
-#: More urgent ones that take so much of the upstream leave nothing to plan
-#: with for the others.
+#: If requests of a higher priority use this share of the upstream or more, too
+#: little is left to predict a start for the others.
 MOST_HIGHER_LOAD: Final = 0.95
 
-#: Arrivals in this span tell the usual load: a burst of a few seconds does
-#: not change it much, and room after a burst is what late callers get.
+#: The arrivals of so many seconds give the usual load.  A burst of a few
+#: seconds changes it little, so late requests can count on the capacity that
+#: is free after a burst.
 LOAD_SECONDS: Final = 30.0
 
-#: What was asked for since a start counts as if it had come in so many
-#: seconds: after an outage all callers return at once, and nobody would be
-#: served if they were taken for the usual load.
+#: The demand since the start of this process counts as if it had arrived over
+#: at least so many seconds.  After an outage all callers return at once, and
+#: nobody would be served if they counted as the usual load.
 FEWEST_LOAD_SECONDS: Final = 5.0
 
-#: Late requests are refused only when they exceed the late places that the
-#: usual load leaves by this factor: after a short burst callers are better
-#: served late than refused.
+#: Late requests are refused only if they exceed the capacity that the usual
+#: load leaves by this factor.  After a short burst it is better to serve
+#: callers late than to refuse them.
 SURE_FACTOR: Final = 6.0
 
-#: Time kept free ahead of those who ask for the first time, in requests'
-#: work.  Work varies, and who comes back after a refusal may use it.
+#: Safety margin before the deadline of first tries, in multiples of the
+#: service time.  Service times vary, and retries after a refusal may use the
+#: margin.
 MARGIN_WORKS: Final = 1.5
 
-#: Share of the room for late answers that callers may take who were not
-#: refused before.
+#: Share of the capacity for late requests that first tries may use.  The rest
+#: is for callers that were refused before.
 LATE_SHARE: Final = 0.5
 
-#: A flow without its request for so long does not count as waiting: its
-#: caller answers within a round trip if it is there.
+#: A new flow without its request for so many seconds does not count as queued:
+#: a caller that is still there sends the request within a round trip.
 HANDSHAKE_SECONDS: Final = 0.25
 
-#: Refusals so long ago still mean that there is too little room.
+#: For so many seconds after a refusal, capacity is considered insufficient.
 PRESSED_SECONDS: Final = 1.0
 
-#: What a refusal counts for in the load: a refused flow is counted at each
-#: agent that was asked, ``FEWEST_WITHOUT_TIME`` of the balancer.
+#: Weight of a refused flow in the load.  It is counted by each agent that was
+#: asked; their number is ``MIN_TIME_REFUSALS`` of the balancer.
 REFUSED_WEIGHT: Final = 1 / 3
 
-#: Who has asked for so long was refused before: asking several agents takes
-#: some milliseconds, and callers pause for longer.
+#: A request first made at least so many milliseconds ago is a retry after a
+#: refusal.  To ask several agents takes a balancer only a few milliseconds,
+#: and callers pause for longer before they retry.
 RETRY_AGE_MS: Final = 50
 
-#: Share of the answers that late requests about to leave get before others.
-#: More would make as many others late.
+#: Share of the responses for late requests whose callers are about to leave,
+#: and which go before others.  A larger share would make as many others late.
 RESCUE_SHARE: Final = 0.2
--- a/packages/keelgap-agent/src/keelgap_agent/packets/room/order.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/room/order.py
@@ -1,4 +1,4 @@
-"""Who goes first while those who come too late are refused."""
+"""Order of queued requests while requests are refused early."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
@@ -20,32 +20,40 @@
     ready: Iterable[bytes],
     now: float,
 ) -> bytes:
-    """Return the flow that goes next.
+    """Return the flow whose request is sent to the upstream next.
 
-    Who was taken to be in time is not overtaken by equals that came later.
-    Some of the late ones that are about to leave go before all others, since
-    they were not refused.
+    A request that was admitted as in time is not overtaken by later ones of
+    the same priority.  Some late requests whose callers are about to leave go
+    before all others, since they were not refused.
     """
-    answer = state.answer_seconds
+    response_time = state.answer_seconds
     held = state.held
-    ranks = {key: _rank(held[key], now, answer) for key in ready}
+    ranks = {key: _rank(held[key], now, response_time) for key in ready}
     first = max(ranks, key=ranks.__getitem__)
-    pause = state.room.pace / defaults.RESCUE_SHARE
-    if now - state.room.rescued_at < pause:
+    rescue_interval = state.room.pace / defaults.RESCUE_SHARE
+    if now - state.room.rescued_at < rescue_interval:
         return first
-    leaving = [key for key in ranks if _is_leaving(held[key], now, answer)]
-    if not leaving:
+    about_to_leave = [
+        key
+        for key in ranks
+        if _is_about_to_leave(held[key], now, response_time)
+    ]
+    if not about_to_leave:
         return first
     state.room.rescued_at = now
-    return min(leaving, key=lambda key: held[key].leaves)
+    return min(about_to_leave, key=lambda key: held[key].leaves)
 
 
-def _rank(held: 'Held', now: float, answer: float) -> _Rank:
-    group, priority, due = held.rank(now, answer)
-    return (group, priority, -due) if group == 1 else (group, priority, due)
+def _rank(held: 'Held', now: float, response_time: float) -> _Rank:
+    rank_class, priority, due_at = held.rank(now, response_time)
+    return (
+        (rank_class, priority, -due_at)
+        if rank_class == 1
+        else (rank_class, priority, due_at)
+    )
 
 
-def _is_leaving(held: 'Held', now: float, answer: float) -> bool:
-    """Return whether this is the last moment for an answer."""
-    left = held.leaves - now - answer
-    return 0 < left < agent_defaults.RESCUE_SECONDS
+def _is_about_to_leave(held: 'Held', now: float, response_time: float) -> bool:
+    """Return whether the caller leaves soon, but can still be answered."""
+    remaining = held.leaves - now - response_time
+    return 0 < remaining < agent_defaults.RESCUE_SECONDS
--- a/packages/keelgap-agent/src/keelgap_agent/packets/room/verdicts.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/room/verdicts.py
@@ -1,11 +1,12 @@
-"""Whose answer would surely come too late, before its flow is open.
-
-An open flow is ended by its upstream only, so a request that cannot be served
-is refused with its opening packet or not at all.  (One exception: beside an
-ejected upstream that is silent, ``outcomes/giving_up.py``.)  One that
-can be answered in time is taken.  One that would be late is taken unless so
-many late ones wait already that the room left by the usual load cannot serve
-them before its caller leaves, even with less than that load.
+"""Early refusal of requests that would surely get no response here.
+
+Only the upstream ends an open flow, so a request that cannot be served is
+refused with its opening packet or not at all.  (The one exception is an
+ejected upstream that is unresponsive; see ``outlier_ejection/abandonment.py``.)
+A request that can be answered in time is admitted.  A late one is admitted
+unless so many late requests are already queued that the capacity left by the
+usual load cannot serve them before its caller leaves, even if the load turns
+out lower.
 """
 
 from typing import TYPE_CHECKING, Final, NamedTuple
@@ -19,19 +20,20 @@
 
 __all__ = ('NO_TIME', 'compute_room_ms', 'lacks_time')
 
-#: The reason as it is counted and logged.
+#: The reason for a refusal, as it is counted and logged.
 NO_TIME: Final = 'miss_no_time'
 _MILLISECONDS: Final = 1000
-#: The longest wait that an envelope can name.
-_MOST_MS: Final = 32767
+#: The longest wait that an envelope can hold.
+_MAX_WAIT_MS: Final = 32767
 
 
 class _Queue(NamedTuple):
-    """Those who wait, as a new request sees them."""
+    """Number of queued requests that matter for a new one."""
 
-    #: Those that go before it.
+    #: Requests that can be in time and go before it.
     ahead: int
-    #: Those as urgent that are late already and can still be answered.
+    #: Requests of the same or a higher priority that are late already, but
+    #: can still be answered before their callers leave.
     late: int
 
 
@@ -41,24 +43,25 @@
     envelope: Envelope,
     now: float,
 ) -> bool:
-    """Return whether a new request surely gets no answer here.
+    """Return whether a new request would surely get no response here.
 
-    Who waits since an outage never had a chance before.
+    Requests that have waited since an outage are never refused, since they had
+    no chance to be served before.
     """
     if held.is_from_outage or not state.room.is_known:
         return False
-    if _has_room_now(state):
+    if _can_start_now(state):
         return False
-    queue = _count_waiting(state, held, now)
+    queue = _count_queued(state, held, now)
     is_first_try = envelope.wait.age_ms < defaults.RETRY_AGE_MS
     if _is_in_time(state, held, queue, now, is_first_try):
         return False
     share = defaults.LATE_SHARE if is_first_try else 1
-    return queue.late >= share * _count_late_places(state, held, now)
+    return queue.late >= share * _compute_late_limit(state, held, now)
 
 
-def _has_room_now(state: 'AgentState') -> bool:
-    """Return whether a request would be passed on at once."""
+def _can_start_now(state: 'AgentState') -> bool:
+    """Return whether a request would be sent to the upstream at once."""
     return state.has_room and not state.held
 
 
@@ -69,59 +72,65 @@
     now: float,
     is_first_try: bool,
 ) -> bool:
-    work = state.room.pace * state.slots
-    margin = defaults.MARGIN_WORKS * work if is_first_try else 0
-    answered = now + _expect_start(state, held, queue, now) + work
-    return answered + margin < held.in_time
+    service_time = state.room.pace * state.slots
+    margin = defaults.MARGIN_WORKS * service_time if is_first_try else 0
+    expected_at = now + _estimate_start(state, held, queue, now) + service_time
+    return expected_at + margin < held.in_time
 
 
 def compute_room_ms(state: 'AgentState', held: 'Held', now: float) -> int:
     """Return the milliseconds until a request like this one would start."""
-    queue = _count_waiting(state, held, now)
-    wait = _expect_start(state, held, queue, now)
-    return max(min(round(wait * _MILLISECONDS), _MOST_MS), 1)
+    queue = _count_queued(state, held, now)
+    wait = _estimate_start(state, held, queue, now)
+    return max(min(round(wait * _MILLISECONDS), _MAX_WAIT_MS), 1)
 
 
-def _count_waiting(state: 'AgentState', held: 'Held', now: float) -> _Queue:
-    work = state.room.pace * state.slots
+def _count_queued(state: 'AgentState', held: 'Held', now: float) -> _Queue:
+    service_time = state.room.pace * state.slots
     ahead = 0
     late = 0
     for other in state.held.values():
-        is_here = other.packets or now - other.came < defaults.HANDSHAKE_SECONDS
-        if not is_here or now + work >= other.leaves:
+        is_present = (
+            other.packets or now - other.came < defaults.HANDSHAKE_SECONDS
+        )
+        if not is_present or now + service_time >= other.leaves:
             continue
         if other.priority > held.priority:
             continue
-        if other.rank(now, work)[0] > 0:
+        if other.rank(now, service_time)[0] > 0:
             ahead += 1
         else:
             late += 1
     return _Queue(ahead, late)
 
 
-def _expect_start(
+def _estimate_start(
     state: 'AgentState',
     held: 'Held',
     queue: _Queue,
     now: float,
 ) -> float:
-    """Return the seconds until the upstream begins on a new request."""
+    """Return the seconds until the upstream starts on a new request."""
     room = state.room
-    higher = room.compute_higher_load(held.priority, now)
-    if higher > defaults.MOST_HIGHER_LOAD:
-        return float(_MOST_MS)
-    answers = max(queue.ahead + state.busy + 1 - state.slots, 0)
-    return answers * room.pace / (1 - higher)
+    higher_load = room.compute_higher_load(held.priority, now)
+    if higher_load > defaults.MOST_HIGHER_LOAD:
+        return float(_MAX_WAIT_MS)
+    responses_before = max(queue.ahead + state.busy + 1 - state.slots, 0)
+    return responses_before * room.pace / (1 - higher_load)
 
 
-def _count_late_places(
+def _compute_late_limit(
     state: 'AgentState',
     held: 'Held',
     now: float,
 ) -> float:
-    """Return how many late requests may be served until a caller leaves."""
+    """Return how many late requests may be queued for a caller to be served.
+
+    This is an estimate of those that the upstream can serve before the caller
+    leaves, multiplied by a factor in favour of admission.
+    """
     room = state.room
-    work = room.pace * state.slots
-    left = max(held.leaves - now - work, 0)
-    spare = room.compute_spare(held.priority, now)
-    return defaults.SURE_FACTOR * left * spare / room.pace
+    service_time = room.pace * state.slots
+    remaining = max(held.leaves - now - service_time, 0)
+    spare_share = room.compute_spare(held.priority, now)
+    return defaults.SURE_FACTOR * remaining * spare_share / room.pace
