--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/__init__.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/__init__.py
@@ -1,7 +1,7 @@
-"""One order for all requests of an upstream, first or later on their flow.
+"""One queue for the first and the subsequent requests of all flows.
 
-Without this the first request of a flow waits here while there is no room,
-and requests on flows that are open go to the upstream at once: they pass
-those that wait, whatever their priority.  While early refusal is at work, the
-order of ``room`` goes instead.
+Without this feature only the first request of a flow is queued while the
+upstream lacks capacity.  Requests on open flows are sent to it at once, and
+overtake queued ones whatever their priority.  While requests are refused
+early, the order of ``capacity`` applies instead.
 """
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/defaults.py
@@ -1,4 +1,4 @@
-"""Default values of the order of requests, each with its reason."""
+"""Default values of request scheduling, and the reasons for them."""
 
 from typing import Final
 
@@ -11,27 +11,30 @@
     'STARVED_SECONDS',
 )
 
-#: Octets of data in a full packet of a caller.  After one that full, the next
-#: may be the rest of the same request.
+#: Octets of data from which on a caller's packet counts as full.  The packet
+#: after a full one may hold the rest of the same request.
 FULL_PACKET_OCTETS: Final = 1200
 
-#: A request at work for so many mean times to an answer, and at least so
-#: many seconds, no longer counts against the room of its upstream: it may
-#: never be answered, and its place stands empty then.  If it is only long,
-#: one more request waits at the upstream rather than here.  All
-#: count while the upstream has answered nothing for as long: what is passed on
-#: to one that hangs is lost, and what waits here may still be answered.
+#: A request in flight for this multiple of the mean response time, and at
+#: least so many seconds, is overdue and no longer counts against the capacity
+#: of its upstream: it may never be answered, and would leave a slot unused.  If
+#: it only takes long, one more request waits at the upstream rather than here.
+#: While the upstream has sent no response for as long, all requests count: what
+#: is sent to an upstream that hangs is lost, and what is queued here may still
+#: be answered.
 OVERDUE_ANSWERS: Final = 6
 OVERDUE_SECONDS: Final = 0.3
 
-#: Whoever waits longer than this may go before all others; most aims are
-#: shorter, so what it still gets is an answer that is late, not none.
+#: A request queued for longer than this is starved, and may go before all
+#: others.  Most routes aim at shorter response times, so its response is
+#: usually late, but it gets one.
 STARVED_SECONDS: Final = 0.5
 
-#: Of the requests that are passed on while such a one waits, each of this
-#: number is one of these.  A lower one serves them sooner, and makes more of
-#: the others late.
+#: While requests are starved, one in so many requests sent to the upstream is a
+#: starved one.  A lower number serves starved requests sooner, and makes more
+#: of the others late.
 PASSED_OVER: Final = 32
 
-#: Waits are counted by priority up to this one; lower ones count together.
+#: Waiting times are measured by priority up to this number; those of lower
+#: priorities are counted under it as well.
 PRIORITIES_COUNTED: Final = 3
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/later.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/later.py
@@ -1,10 +1,10 @@
-"""Later requests of open flows that wait until the upstream has room.
+"""Queueing of subsequent requests on open flows until there is capacity.
 
-Only a packet that surely begins a request is held: its flow is known, its
-earlier request was answered, the packet before was not full, and its octets
-were not seen before.  All else
-is passed on at once, so that what the upstream has begun goes on.  What is
-held is never lost: a caller that waits repeats its packets.
+A packet is queued only if it surely begins a request: its flow is known, the
+earlier request was answered, the previous packet was not full, and its data
+were not seen before.  Anything else is sent to the upstream at once, so that
+requests that it has started on can continue.  Queued packets cannot be lost,
+since a caller that waits repeats them.
 """
 
 from typing import Final
@@ -42,19 +42,19 @@
     flow: Flow,
     event: EnvelopeArrived,
 ) -> bool:
-    """Return whether a packet begins a request that must wait."""
+    """Return whether a packet begins a request that must be queued."""
     if not state.features.scheduling:
         return False
     flow.terms = read_packet(event.envelope, flow.terms)
     datagram = event.envelope.content
-    if flow.terms is None or not _is_new(state, flow, datagram):
+    if flow.terms is None or not _has_new_data(state, flow, datagram):
         return False
-    is_rest = flow.terms.goes_on or flow.busy_since is not None
-    if is_rest or flow.ended or not _may_hold(state, flow):
+    is_continuation = flow.terms.goes_on or flow.busy_since is not None
+    if is_continuation or flow.ended or not _may_queue(state, flow):
         note_length(state, flow, datagram)
         return False
-    waiting = any(held.packets for held in state.held.values())
-    if waiting or not has_room(state, event.now):
+    has_queued = any(held.packets for held in state.held.values())
+    if has_queued or not has_room(state, event.now):
         return True
     note_length(state, flow, datagram)
     return False
@@ -65,12 +65,12 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Let a request wait, unless it is the first in rank and there is room."""
-    held = _make_held(state.flows[key], event)
+    """Queue a request, unless it ranks first and there is capacity."""
+    held = _make_queued(state.flows[key], event)
     state.held[key] = held
     effects = (
-        *_tell_owned(state, key, event),
-        *_keep(state, key, held, event),
+        *_announce_owned(state, key, event),
+        *_store_packet(state, key, held, event),
     )
     if key not in state.held:
         return effects
@@ -82,26 +82,31 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Take a packet of a flow whose later request waits."""
+    """Handle a packet of a flow whose subsequent request is queued."""
     envelope = event.envelope
     datagram = envelope.content
     flow = state.flows[key]
     has_data = state.format.data_length(datagram) > 0
-    passed = state.pass_on(event.sender, envelope)
-    owned = _tell_owned(state, key, event)
+    forwarded = state.pass_on(event.sender, envelope)
+    announced = _announce_owned(state, key, event)
     if state.format.flags(datagram) & ENDS_FLOW:
-        # The last octets of a request may come with the caller's FIN.
-        over = (
+        # The last data of a request may arrive with the caller's FIN.
+        settled = (
             pass_waiting(state, key, event.now)
             if has_data
-            else _forget_left(state, key, event.now)
+            else _drop_abandoned(state, key, event.now)
         )
         flow.ended = True
         state.cancel_request(flow)
-        return (*owned, *over, passed, *release_held(state, event.now))
-    if not has_data or not _is_new(state, flow, datagram):
-        return (*owned, passed)
-    return (*owned, *_keep(state, key, state.held[key], event))
+        return (
+            *announced,
+            *settled,
+            forwarded,
+            *release_held(state, event.now),
+        )
+    if not has_data or not _has_new_data(state, flow, datagram):
+        return (*announced, forwarded)
+    return (*announced, *_store_packet(state, key, state.held[key], event))
 
 
 def end_waiting(
@@ -110,12 +115,13 @@
     flags: int,
     now: float,
 ) -> Effects:
-    """Settle what waits on a flow of which the upstream sent a packet.
+    """Settle a queued request if the upstream ends its flow.
 
-    An upstream that closes the flow answers itself what comes after; a
-    caller that is told of a reset does not wait any more.
+    If the upstream closes the flow, the request is sent to it, since it
+    responds to later packets itself.  After a reset the caller no longer
+    waits, so the request is dropped.
     """
-    if not flags & ENDS_FLOW or not _is_later_held(state, key):
+    if not flags & ENDS_FLOW or not _is_subsequent_queued(state, key):
         return ()
     if flags & _RST:
         fields = _describe(state, key, now)
@@ -125,8 +131,8 @@
 
 
 def pass_waiting(state: AgentState, key: bytes, now: float) -> Effects:
-    """Pass on at once what waits on an open flow, if anything does."""
-    if not _is_later_held(state, key):
+    """Send the queued request of an open flow at once, if there is one."""
+    if not _is_subsequent_queued(state, key):
         return ()
     return release_request(state, key, now)
 
@@ -137,37 +143,37 @@
     packet: bytes,
     now: float,
 ) -> Effects:
-    """Pass on what waits on a flow that the upstream gave back.
+    """Send the queued request of a flow of which the upstream bounced a packet.
 
-    The upstream gives that back, too; so the log tells its end at once.
+    The upstream bounces that request as well, so its end is logged at once.
     """
     flow = state.flows.get(key)
     if flow is None or flow.asked_by is not None:
         return pass_waiting(state, key, now)
-    judged = judge_bounce(state, key, flow, packet, now)
-    passed = pass_waiting(state, key, now)
-    return (*judged, *passed, *tell_unanswered(state, key, flow, 'bounced'))
+    recorded = judge_bounce(state, key, flow, packet, now)
+    released = pass_waiting(state, key, now)
+    return (*recorded, *released, *tell_unanswered(state, key, flow, 'bounced'))
 
 
-def _is_later_held(state: AgentState, key: bytes) -> bool:
+def _is_subsequent_queued(state: AgentState, key: bytes) -> bool:
     held = state.held.get(key)
     return held is not None and held.is_later
 
 
-def _may_hold(state: AgentState, flow: Flow) -> bool:
-    """Return whether this process knows the flow well enough, and has room.
+def _may_queue(state: AgentState, flow: Flow) -> bool:
+    """Return whether this process knows a flow well enough, and may queue it.
 
-    Without data seen before, a packet may belong to a request that another
-    process passed on.
+    Without earlier data, a packet may belong to a request of which another
+    process sent the beginning to the upstream.
     """
     if state.stopping_since is not None or not flow.confirmed:
         return False
-    most = state.slots * agent_defaults.HELD_PER_SLOT
-    return flow.caller_sequence is not None and len(state.held) < most
+    max_queued = state.slots * agent_defaults.HELD_PER_SLOT
+    return flow.caller_sequence is not None and len(state.held) < max_queued
 
 
-def _is_new(state: AgentState, flow: Flow, datagram: bytes) -> bool:
-    """Return whether a packet has octets that were not passed on."""
+def _has_new_data(state: AgentState, flow: Flow, datagram: bytes) -> bool:
+    """Return whether a packet has data that were not sent to the upstream."""
     if not state.format.data_length(datagram):
         return False
     if state.format.flags(datagram) & ENDS_FLOW:
@@ -175,7 +181,7 @@
     return flow.is_ahead(state.format.sequence(datagram))
 
 
-def _make_held(flow: Flow, event: EnvelopeArrived) -> Held:
+def _make_queued(flow: Flow, event: EnvelopeArrived) -> Held:
     now = event.now
     terms = flow.terms
     assert terms is not None
@@ -192,33 +198,33 @@
     )
 
 
-def _keep(
+def _store_packet(
     state: AgentState,
     key: bytes,
     held: Held,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Keep one copy of each packet, and pass on what there is room for."""
+    """Store one copy of each packet, and send what there is capacity for."""
     sequence = state.format.sequence(event.envelope.content)
-    is_known = sequence in held.packets
-    if is_known or len(held.packets) < agent_defaults.MAX_HELD_PACKETS:
+    is_copy = sequence in held.packets
+    if is_copy or len(held.packets) < agent_defaults.MAX_HELD_PACKETS:
         held.packets[sequence] = event
     return release_held(state, event.now)
 
 
-def _tell_owned(
+def _announce_owned(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Answer a balancer that searched for the flow."""
+    """Tell a balancer that searched for a flow that this agent owns it."""
     if event.envelope.kind != EnvelopeKind.SEARCH:
         return ()
     return (state.send(event.sender, EnvelopeKind.OWNED, key),)
 
 
-def _forget_left(state: AgentState, key: bytes, now: float) -> Effects:
-    """Drop what waits, since its caller has left."""
+def _drop_abandoned(state: AgentState, key: bytes, now: float) -> Effects:
+    """Drop a queued request whose caller has left."""
     fields = _describe(state, key, now)
     state.held.pop(key)
     return (Decided('left_waiting', fields),)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/order.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/order.py
@@ -1,4 +1,4 @@
-"""Whether the upstream has room, and which request is next."""
+"""Whether the upstream has capacity, and which request is sent to it next."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -12,23 +12,24 @@
 
 __all__ = ('choose_next', 'has_room', 'observe_wait')
 
-#: Place of callers from an outage who are about to leave, as ``Held`` ranks.
+#: The rank in ``QueuedRequest.rank`` of callers from an outage that are about
+#: to leave.
 _RESCUED: Final = 2
-#: Part of the time to its aim that an answer is taken to need at most.  A
-#: caller whose aim is shorter than the mean answer of all routes may still
-#: be in time; in the other half it may go first.
-_MOST_OF_AIM: Final = 0.5
+#: A response is assumed to take at most this share of the time to the request's
+#: deadline.  A request whose route has a deadline below the mean response time
+#: of all routes may then still be in time: it can go first in the other half.
+_MAX_DEADLINE_SHARE: Final = 0.5
 
 
 def has_room(state: AgentState, now: float) -> bool:
-    """Return whether the upstream can start on another request."""
+    """Return whether the upstream can take another request."""
     state.work.note_answers(now, state.answer_seconds)
     if state.has_room:
         return True
     if not state.features.scheduling:
         return False
-    current = state.work.count_current(now)
-    return current < state.slots + agent_defaults.EXTRA_SLOTS
+    in_flight = state.work.count_current(now)
+    return in_flight < state.slots + agent_defaults.EXTRA_SLOTS
 
 
 def choose_next(
@@ -36,16 +37,17 @@
     ready: Sequence[bytes],
     now: float,
 ) -> bytes:
-    """Return which flow's request is passed on next: the first in rank.
+    """Return the flow whose request is sent to the upstream next.
 
-    So that nobody waits without end, late or of a low priority, now and then
-    it is one that waits too long, if its caller stays until the answer.
+    This is the request of the highest rank.  To prevent the starvation of late
+    requests and low priorities, from time to time it is one that has been
+    queued for too long, if its caller stays until the response.
     """
-    answer = state.answer_seconds
+    response_time = state.answer_seconds
     held = state.held
     if not state.features.scheduling:
-        return max(ready, key=lambda key: held[key].rank(now, answer))
-    best = max(ready, key=lambda key: _rank(held[key], now, answer))
+        return max(ready, key=lambda key: held[key].rank(now, response_time))
+    best = max(ready, key=lambda key: _rank(held[key], now, response_time))
     chosen = _find_starved(state, ready, now) or best
     state.work.served_at[held[chosen].priority] = now
     return chosen
@@ -56,18 +58,19 @@
     ready: Sequence[bytes],
     now: float,
 ) -> bytes | None:
-    """Return who goes out of turn, if one waits too long and it is time.
+    """Return the starved request that goes out of turn now, if any.
 
-    Of the priority that was served longest ago: else the late requests of
-    one that fills the upstream would take all such turns of the others.
+    It is one of the priority that was served longest ago.  Otherwise the late
+    requests of a priority that saturates the upstream would take all such
+    turns from the others.
     """
-    latest = now - defaults.STARVED_SECONDS
-    start = now + state.answer_seconds
+    starved_before = now - defaults.STARVED_SECONDS
+    expected_at = now + state.answer_seconds
     held = state.held
     starved = [
         key
         for key in ready
-        if held[key].came < latest and start < held[key].leaves
+        if held[key].came < starved_before and expected_at < held[key].leaves
     ]
     if not starved:
         return None
@@ -90,36 +93,44 @@
     held: Held,
     now: float,
 ) -> tuple[AgentEffect, ...]:
-    """Count how long a request waited that is passed on, and note its end."""
+    """Measure the queueing time of a request that is sent to the upstream.
+
+    Also record whether its last packet was full.
+    """
     waited = Observed('wait_seconds', now - held.came)
     if not state.features.scheduling:
         return (waited,)
     note_released(state, held)
-    counted = min(held.priority, defaults.PRIORITIES_COUNTED)
-    by_priority = Observed(f'wait_seconds_priority_{counted}', now - held.came)
+    priority_label = min(held.priority, defaults.PRIORITIES_COUNTED)
+    by_priority = Observed(
+        f'wait_seconds_priority_{priority_label}', now - held.came
+    )
     return waited, by_priority
 
 
 def _rank(
     held: Held,
     now: float,
-    answer: float,
+    response_time: float,
 ) -> tuple[int, int, float]:
-    """Return the place in the queue; the highest goes first.
+    """Return the rank in the queue; the highest goes first.
 
-    Callers from an outage who are about to leave come first, as without
-    this order.  Then come those that can be in time, by priority, and at
-    equal priority the earliest deadline first.  The others have what is left,
-    who leaves first before them, and last is who leaves before an answer.
+    Callers from an outage that are about to leave come first, as they do
+    without scheduling.  Then come requests that can be in time, by priority,
+    and with equal priority the earliest deadline first.  The late ones follow,
+    by priority and then by the time when their callers leave.  Requests whose
+    callers leave before a response come last.
     """
     if held.is_from_outage:
-        rank = held.rank(now, answer)
+        rank = held.rank(now, response_time)
         if rank[0] == _RESCUED:
             return rank
-    start = now + answer
-    # The mean is of all routes: long requests of others make nobody late in
-    # the first part of its own time.
-    own_answer = min(answer, _MOST_OF_AIM * (held.in_time - held.came))
-    if now + own_answer < held.in_time:
+    expected_at = now + response_time
+    # The mean covers all routes.  Long requests of other routes must not make
+    # a request late in the first part of its own time.
+    own_response_time = min(
+        response_time, _MAX_DEADLINE_SHARE * (held.in_time - held.came)
+    )
+    if now + own_response_time < held.in_time:
         return 1, -held.priority, -held.in_time
-    return -int(start >= held.leaves), -held.priority, -held.leaves
+    return -int(expected_at >= held.leaves), -held.priority, -held.leaves
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/rests.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/rests.py
@@ -1,8 +1,9 @@
-"""Whether the next data of a flow may be the rest of a request.
+"""Detect that the next data of a flow may be the rest of a request.
 
-Data of the upstream does not show that it has all of a request: it may be
-an interim answer, an early refusal or a copy of the answer before.  Half a
-request would keep its slot at the upstream while the rest waits here.
+Data from the upstream does not show that it has received a whole request: it
+may be an interim response, an early refusal or a copy of the previous
+response.  Half a request would occupy a slot of the upstream while the rest is
+queued here.
 """
 
 from keelgap_agent.packets.flows import Flow, Held
@@ -13,7 +14,7 @@
 
 
 def note_length(state: AgentState, flow: Flow, datagram: bytes) -> None:
-    """Note whether the latest data of a caller filled its packet."""
+    """Record whether the latest data of a caller filled its packet."""
     terms = flow.terms
     if terms is None:
         return
@@ -24,7 +25,7 @@
 
 
 def note_released(state: AgentState, held: Held) -> None:
-    """Note the same of a request that waited, now that it is passed on."""
+    """Record the same for the last packet of a queued request that is sent."""
     for event in held.packets.values():
         datagram = event.envelope.content
         flow = state.flows[state.format.caller_key(datagram)]
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/terms.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/terms.py
@@ -1,4 +1,4 @@
-"""What is known of the next packets of a flow before they come."""
+"""Priority and time limits that a flow's route sets for its requests."""
 
 from typing import Final, NamedTuple
 
@@ -10,22 +10,24 @@
 
 
 class RouteTerms(NamedTuple):
-    """What the route of a flow says of each request."""
+    """What the route of a flow specifies for each request."""
 
-    #: 0 goes first.
+    #: 0 is the highest priority.
     priority: int
-    #: Seconds within which an answer is in time.
+    #: Response time objective: seconds within which a response is in time.
     aim: float
-    #: Seconds after which a caller no longer waits; infinite if not known.
+    #: Seconds after which a caller stops waiting; infinite if not known.
     patience: float
-    #: Whether the caller's last packet was full, so that its request may go on.
+    #: Whether the caller's last packet was full, so that the next one may
+    #: continue the request.
     goes_on: bool = False
 
 
 def read_opening(envelope: Envelope) -> RouteTerms:
-    """Return what the envelope of an opening packet says of its route.
+    """Return the policy from the envelope of an opening packet.
 
-    It tells what is left of both spans to this caller, and its age.
+    The envelope holds the time that this caller has left of both limits, and
+    how long it has waited already; the limits are the sums.
     """
     wait = envelope.wait
     return RouteTerms(
@@ -37,19 +39,20 @@
 
 def read_packet(
     envelope: Envelope,
-    known: RouteTerms | None,
+    policy: RouteTerms | None,
 ) -> RouteTerms | None:
-    """Return what is known of a route after a later packet.
+    """Return the policy after a subsequent packet of a flow.
 
-    Its priority and aim are those of now, for the next request.  A balancer
-    that does not know, or of an earlier release, says nothing; and what an
-    opening packet that comes again says is what is left to its caller.
+    The packet's envelope holds the current priority and response time objective
+    of the route, for the next request.  A balancer that does not know them, or
+    is of an earlier release, sends none.  The envelope of a repeated opening
+    packet is ignored, since it holds what its caller has left.
     """
     if envelope.kind in OPENING_KINDS or envelope.left_ms <= 0:
-        return known
+        return policy
     aim = envelope.left_ms / _MILLISECONDS
-    if known is None:
+    if policy is None:
         return RouteTerms(envelope.priority, aim, float('inf'))
-    if (known.priority, known.aim) == (envelope.priority, aim):
-        return known
-    return known._replace(priority=envelope.priority, aim=aim)
+    if (policy.priority, policy.aim) == (envelope.priority, aim):
+        return policy
+    return policy._replace(priority=envelope.priority, aim=aim)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/work.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/work.py
@@ -1,4 +1,4 @@
-"""What an upstream works on, as its agent counts it."""
+"""Requests in flight at an upstream, as counted by its agent."""
 
 from typing import Protocol
 
@@ -8,55 +8,58 @@
 
 
 class WorkingFlow(Protocol):
-    """A flow with a request at work."""
+    """A flow with a request in flight."""
 
     busy_since: float | None
 
 
 class Workload:
-    """The flows with a request at work, the longest first."""
+    """The flows with a request in flight, and the state of the scheduler."""
 
     __slots__ = (
-        'answer',
-        'answered_at',
+        'mean_response_time',
+        'last_response_at',
         'flows',
         'passed_over',
         'served_at',
     )
 
     def __init__(self) -> None:
-        """Start without work."""
+        """Start without any flow."""
+        #: Flows with a request in flight, the one busy for longest first.
         self.flows: dict[WorkingFlow, None] = {}
-        #: Requests passed on, while some waited too long, since one of these.
+        #: Requests sent to the upstream since the latest starved one, while
+        #: others were starved.
         self.passed_over = 0
-        #: When a request that waited was passed on last, by priority.
+        #: When a queued request was last sent to the upstream, by priority.
         self.served_at: dict[int, float] = {}
-        #: The mean time to an answer, and when it was seen to change.
-        self.answer: float = 0
-        self.answered_at = float('-inf')
+        #: The mean response time in seconds, and when it was seen to change.
+        self.mean_response_time: float = 0
+        self.last_response_at = float('-inf')
 
-    def note_answers(self, now: float, answer: float) -> None:
-        """Note the mean time to an answer, which changes with each."""
-        if answer != self.answer:
-            self.answer = answer
-            self.answered_at = now
+    def note_answers(self, now: float, mean_response_time: float) -> None:
+        """Record the mean response time, which changes with each response."""
+        if mean_response_time != self.mean_response_time:
+            self.mean_response_time = mean_response_time
+            self.last_response_at = now
 
     def count_current(self, now: float) -> int:
-        """Return how many are at work and not overdue.
+        """Return how many flows have a request in flight that is not overdue.
 
-        An upstream that answers nothing gets nothing more for that.
+        If the upstream has stopped responding, overdue requests count as well,
+        so that it gets no more than before.
         """
-        patience = max(
+        overdue_after = max(
             defaults.OVERDUE_SECONDS,
-            defaults.OVERDUE_ANSWERS * self.answer,
+            defaults.OVERDUE_ANSWERS * self.mean_response_time,
         )
-        at_work = len(self.flows)
-        if now - self.answered_at >= patience:
-            return at_work
+        busy = len(self.flows)
+        if now - self.last_response_at >= overdue_after:
+            return busy
         overdue = 0
         for flow in self.flows:
-            since = flow.busy_since
-            if since is None or now - since < patience:
+            busy_since = flow.busy_since
+            if busy_since is None or now - busy_since < overdue_after:
                 break
             overdue += 1
-        return at_work - overdue
+        return busy - overdue
