--- a/packages/keelgap/src/keelgap/packets/__init__.py
+++ b/packages/keelgap/src/keelgap/packets/__init__.py
@@ -1,5 +1,5 @@
-"""Flows of opaque packets: what both programs know of them.
+"""Code that the packet balancer and the packet agent share.
 
-The bytes of such a flow belong to its two ends.  A balancer sees addresses,
-ports and flags, and may neither change the rest nor add to it.
+Packets are opaque: the balancer reads addresses, ports and flags only, and
+must not change or extend the payload.
 """
--- a/packages/keelgap/src/keelgap/packets/counters.py
+++ b/packages/keelgap/src/keelgap/packets/counters.py
@@ -1,7 +1,7 @@
-"""Counts and histograms of one process, cheap enough for each packet.
+"""Counters and histograms cheap enough to update for every packet.
 
-A metrics page turns them into the library's types when somebody asks;
-``keelgap.packets.metrics`` imports the library only then.
+``keelgap.packets.metrics`` converts them to the types of the Prometheus client
+when the metrics page is requested, and imports that library only then.
 """
 
 from bisect import bisect_left
@@ -9,7 +9,7 @@
 
 __all__ = ('BUCKETS', 'Counters', 'Histogram')
 
-#: Upper bounds of the buckets in seconds; the last bucket has none.
+#: Upper bounds of the buckets, in seconds; one more bucket has no bound.
 BUCKETS: Final = (
     0.0001,
     0.0003,
@@ -28,34 +28,34 @@
 
 
 class Histogram:
-    """How often a duration fell into each bucket."""
+    """Numbers of durations by bucket, and their sum."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Initialize all buckets to zero."""
         self.counts = [0 for _ in (*BUCKETS, None)]
         self.total: float = 0
 
     def observe(self, seconds: float) -> None:
-        """Count one duration."""
+        """Add one duration in seconds."""
         self.counts[bisect_left(BUCKETS, seconds)] += 1
         self.total += seconds
 
 
 class Counters:
-    """Counts by name, and histograms by name and label."""
+    """Counters by name, and histograms by name and service."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Initialize without counters or histograms."""
         self.totals: dict[str, int] = {}
-        #: By name and service.
+        #: Keyed by name and service.
         self.histograms: dict[tuple[str, str], Histogram] = {}
 
     def count(self, name: str) -> None:
-        """Count one event."""
+        """Increment the counter of this name."""
         self.totals[name] = self.totals.get(name, 0) + 1
 
     def observe(self, name: str, service: str, seconds: float) -> None:
-        """Count one duration."""
+        """Add a duration to the histogram of this name and service."""
         key = (name, service)
         histogram = self.histograms.get(key)
         if histogram is None:
--- a/packages/keelgap/src/keelgap/packets/decay.py
+++ b/packages/keelgap/src/keelgap/packets/decay.py
@@ -1,4 +1,4 @@
-"""Counts that fade: what happened lately, in a few numbers."""
+"""An exponentially decaying event counter."""
 
 from math import exp, expm1
 
@@ -6,30 +6,36 @@
 
 
 class DecayingCount:
-    """Events of the last ``span`` seconds, the older the less they count."""
+    """Count events with weights that decay by e per time constant."""
 
-    __slots__ = ('amount', 'at', 'began', 'span')
+    __slots__ = ('value_at_update', 'updated_at', 'started_at', 'time_constant')
 
-    def __init__(self, span: float, now: float) -> None:
-        """Start at zero."""
-        self.span = span
-        self.amount: float = 0
-        self.at = now
-        self.began = now
+    def __init__(self, time_constant: float, now: float) -> None:
+        """Initialize to zero; ``time_constant`` is in seconds."""
+        self.time_constant = time_constant
+        self.value_at_update: float = 0
+        self.updated_at = now
+        self.started_at = now
 
     def add(self, now: float, weight: float = 1) -> None:
-        """Count an event."""
-        self.amount = self.read(now) + weight
-        self.at = now
+        """Add an event that counts ``weight`` now."""
+        self.value_at_update = self.read(now) + weight
+        self.updated_at = now
 
     def read(self, now: float) -> float:
-        """Return the count."""
-        return self.amount * exp((self.at - now) / self.span)
+        """Return the decayed count."""
+        return self.value_at_update * exp(
+            (self.updated_at - now) / self.time_constant
+        )
 
-    def compute_rate(self, now: float, fewest: float) -> float:
-        """Return events a second, over ``fewest`` seconds at least.
+    def compute_rate(self, now: float, min_seconds: float) -> float:
+        """Return events per second.
 
-        A young count has seen less than its span.
+        The divisor is the decay-weighted observation time, because a new
+        counter has observed less than one time constant.  It is at least
+        ``min_seconds``.
         """
-        seen = self.span * -expm1((self.began - now) / self.span)
-        return self.read(now) / max(seen, fewest)
+        observed_seconds = self.time_constant * -expm1(
+            (self.started_at - now) / self.time_constant
+        )
+        return self.read(now) / max(observed_seconds, min_seconds)
--- a/packages/keelgap/src/keelgap/packets/directory.py
+++ b/packages/keelgap/src/keelgap/packets/directory.py
@@ -1,17 +1,18 @@
-"""Which agents know where the flows of a service are held.
-
-With many upstreams of a service a balancer cannot ask each agent for a flow
-that it does not know.  A few agents keep a directory of them: every agent
-registers the flows that it passes to its upstream, and a balancer asks two
-agents, whatever the number of upstreams.
-
-The flow's key names its shard, and the shard two agents, by rendezvous over
-the hosts of the catalog.  A service's hosts outlive the processes on them, so
-that after an outage of everything the directory lies where it lay before.
-All balancers at one revision agree; agents take the directory's place from
-balancers, the latest revision counts.  A directory that is wrong or empty
-costs time but no flow: it tells whose registrations it holds completely, and
-the other agents are asked themselves.
+"""Placement of the directory that maps flows to the agents holding them.
+
+A balancer that does not know a flow cannot ask every agent of a service with
+many upstreams.  A few agents therefore act as directory nodes: every agent
+registers with them the flows that it passes to its upstream, and a balancer
+asks two nodes, independent of the number of upstreams.
+
+The hash of a flow key selects a shard, and rendezvous hashing over the hosts
+in the catalog selects two nodes for each shard.  Hosts are hashed instead of
+processes, because hosts outlive processes: after a complete outage each shard
+is on the same hosts as before.  All balancers at the same catalog revision
+compute the same placement; agents receive it from balancers, and the latest
+revision wins.  A wrong or empty directory delays flows but does not break
+them: a node reports which agents' registrations it holds completely, and
+balancers ask all other agents directly.
 """
 
 from collections.abc import Iterable
@@ -28,48 +29,48 @@
     'make_directory',
 )
 
-#: Agents that keep each shard.  One may be dark or starting anew.
+#: Nodes per shard, so that one may be unreachable or restarting.
 COPIES: Final = 2
-#: Upstreams for each shard.  Upstreams that open 14 flows a second each, as at
-#: the size to design for, make 1,800 registrations a second at an agent: about
+#: Upstreams per shard.  At the design size each upstream opens 14 flows per
+#: second, so a node receives 1,800 registrations per second, which take about
 #: a fifth of a core.
 SHARD_UPSTREAMS: Final = 128
 
-#: The two hosts that keep one shard.
+#: Hosts of the nodes of one shard.
 Nodes = tuple[str, ...]
 
 
 class FlowDirectory(NamedTuple):
-    """Where the directory of one service is kept."""
+    """Placement of the directory of one service."""
 
-    #: Revision of the catalog that it was computed from.
+    #: Revision of the catalog from which the placement was computed.
     revision: int
-    #: Hosts of the agents that keep each shard.
+    #: Hosts of the nodes, by shard.
     shards: tuple[Nodes, ...]
 
 
-#: Of a service whose agents are few enough to be asked.
+#: For a service with few enough agents to ask each of them.
 NO_DIRECTORY: Final = FlowDirectory(0, ())
 
 
 def make_directory(
     revision: int,
     hosts: Iterable[str],
-    fewest: int,
+    max_without_directory: int,
 ) -> FlowDirectory:
-    """Return the directory of a service on these hosts.
+    """Compute the placement of a service's directory on its hosts.
 
-    None is needed for ``fewest`` hosts or less.
+    Services with up to ``max_without_directory`` hosts get NO_DIRECTORY.
     """
     members = tuple(hosts)
-    if len(members) <= fewest:
+    if len(members) <= max_without_directory:
         return NO_DIRECTORY
     count = (len(members) - 1) // SHARD_UPSTREAMS + 1
-    shards = tuple(_choose_keepers(members, shard) for shard in range(count))
+    shards = tuple(_choose_replicas(members, shard) for shard in range(count))
     return FlowDirectory(revision, shards)
 
 
-def _choose_keepers(hosts: tuple[str, ...], shard: int) -> Nodes:
+def _choose_replicas(hosts: tuple[str, ...], shard: int) -> Nodes:
     ranked = sorted(
         hosts, key=lambda host: xxh3_64_intdigest(host.encode(), shard)
     )
@@ -77,7 +78,7 @@
 
 
 def choose_nodes(directory: FlowDirectory, key: bytes) -> Nodes:
-    """Return the hosts of the agents that know where a flow is held."""
+    """Return the hosts of the directory nodes for a flow key."""
     shards = directory.shards
     if not shards:
         return ()
@@ -85,7 +86,7 @@
 
 
 def digest_hosts(hosts: Iterable[str]) -> int:
-    """Return a number that stands for a set of hosts."""
+    """Return a digest of a set of hosts that does not depend on order."""
     digest = 0
     for host in hosts:
         digest ^= xxh3_64_intdigest(host.encode())
--- a/packages/keelgap/src/keelgap/packets/directory_messages.py
+++ b/packages/keelgap/src/keelgap/packets/directory_messages.py
@@ -1,4 +1,4 @@
-"""Messages about flow directories, as the contents of envelopes."""
+"""Encoding of the directory messages that envelopes carry."""
 
 import socket
 import struct
@@ -32,61 +32,61 @@
     'unpack_registration',
 )
 
-#: Flow keys in one datagram, which must not be fragmented.
+#: Maximum flow keys per datagram; more would cause IP fragmentation.
 MAX_KEYS: Final = 70
-#: Hosts in one datagram.
+#: Maximum hosts per datagram.
 MAX_HOSTS: Final = 280
 
-_NOBODY: Final = bytes(HOST_LENGTH)
+_NO_HOST: Final = bytes(HOST_LENGTH)
 _REGISTRATION: Final = struct.Struct('!IHIII?')
 _DIGEST: Final = struct.Struct('!Q')
 _COVERAGE: Final = struct.Struct('!QBB')
-_ROW_LENGTH: Final = FLOW_KEY_LENGTH + HOST_LENGTH
+_RECORD_LENGTH: Final = FLOW_KEY_LENGTH + HOST_LENGTH
 
 
 class Registration(NamedTuple):
     """Flows that an agent passed to its upstream, for one directory node.
 
-    The registrations of one stream are numbered by their flows, so that the
-    node notices a lost one.  A new stream begins with all flows held.
+    Keys are numbered consecutively within a stream, so the node detects lost
+    registrations.  A new stream starts with all flows that the agent holds.
     """
 
-    #: One start of the agent.
+    #: Identifies the start of the agent process.
     boot: int
-    #: Counts up within a boot.
+    #: Number of the stream, increasing within a boot.
     stream: int
-    #: Number of the first key in this stream.
+    #: Number of the first of these keys within the stream.
     sequence: int
-    #: Number after the last key of the stream so far.
+    #: Number that follows the last key sent in the stream so far.
     end: int
-    #: Stands for the id of the upstream.
+    #: Tag of the id of the upstream.
     upstream_tag: int
-    #: Whether the agent saw each flow that its upstream holds.
+    #: Whether the agent knows every flow that its upstream holds.
     is_complete: bool
     keys: tuple[bytes, ...]
 
 
 class Question(NamedTuple):
-    """What a balancer asks a directory node."""
+    """Query from a balancer to a directory node."""
 
-    #: Of the hosts that the node covers as far as the balancer knows.
+    #: Digest of the hosts that the node covers, as known to the balancer.
     digest: int
     keys: tuple[bytes, ...]
 
 
 class Lookup(NamedTuple):
-    """What a directory node answers a balancer."""
+    """Response of a directory node to a balancer."""
 
-    #: Of the hosts whose registrations are complete at the node.
+    #: Digest of the hosts whose registrations are complete at the node.
     digest: int
-    #: A flow key and the hosts of the agents that may hold the flow.
+    #: Flow keys, each with the hosts of the agents that may hold the flow.
     rows: tuple[tuple[bytes, tuple[str, ...]], ...]
 
 
 class Coverage(NamedTuple):
-    """A part of the hosts whose registrations are complete at a node."""
+    """One part of the hosts whose registrations are complete at a node."""
 
-    #: Of all of them.
+    #: Digest of the hosts of all parts.
     digest: int
     part: int
     parts: int
@@ -94,73 +94,73 @@
 
 
 def split_keys(keys: Iterable[bytes]) -> Iterator[tuple[bytes, ...]]:
-    """Yield the keys in groups that fit into a datagram each."""
-    every = tuple(keys)
-    for start in range(0, len(every), MAX_KEYS):
-        yield every[start : start + MAX_KEYS]
+    """Split keys into groups that fit into one datagram each."""
+    key_list = tuple(keys)
+    for offset in range(0, len(key_list), MAX_KEYS):
+        yield key_list[offset : offset + MAX_KEYS]
 
 
 def pack_registration(registration: Registration) -> bytes:
-    """Return the octets of a registration."""
+    """Encode a registration."""
     *head, keys = registration
     return _REGISTRATION.pack(*head) + b''.join(keys)
 
 
 def unpack_registration(content: bytes) -> Registration:
-    """Return a registration; raise MalformedEnvelope."""
+    """Decode a registration; raise MalformedEnvelope if invalid."""
     head = unpack_head(_REGISTRATION, content)
     keys = split_octets(content[_REGISTRATION.size :], FLOW_KEY_LENGTH)
     return Registration._make((*head, keys))
 
 
 def pack_question(question: Question) -> bytes:
-    """Return the octets of a question."""
+    """Encode a lookup request."""
     return _DIGEST.pack(question.digest) + b''.join(question.keys)
 
 
 def unpack_question(content: bytes) -> Question:
-    """Return a question; raise MalformedEnvelope."""
+    """Decode a lookup request; raise MalformedEnvelope if invalid."""
     digest = unpack_head(_DIGEST, content)[0]
     keys = split_octets(content[_DIGEST.size :], FLOW_KEY_LENGTH)
     return Question(digest, keys)
 
 
 def pack_lookup(lookup: Lookup) -> bytes:
-    """Return the octets of an answer: a row for each key and host."""
+    """Encode a lookup response as one record per key and host."""
     rows = [
         key + host
         for key, hosts in lookup.rows
-        for host in (tuple(map(socket.inet_aton, hosts)) or (_NOBODY,))
+        for host in (tuple(map(socket.inet_aton, hosts)) or (_NO_HOST,))
     ]
     return _DIGEST.pack(lookup.digest) + b''.join(rows)
 
 
 def unpack_lookup(content: bytes) -> Lookup:
-    """Return an answer; raise MalformedEnvelope."""
+    """Decode a lookup response; raise MalformedEnvelope if invalid."""
     digest = unpack_head(_DIGEST, content)[0]
     by_key: dict[bytes, tuple[str, ...]] = {}
-    for row in split_octets(content[_DIGEST.size :], _ROW_LENGTH):
+    for row in split_octets(content[_DIGEST.size :], _RECORD_LENGTH):
         key = row[:FLOW_KEY_LENGTH]
         host = row[FLOW_KEY_LENGTH:]
-        found = () if host == _NOBODY else (socket.inet_ntoa(host),)
+        found = () if host == _NO_HOST else (socket.inet_ntoa(host),)
         by_key[key] = by_key.get(key, ()) + found
     return Lookup(digest, tuple(by_key.items()))
 
 
 def pack_coverage(hosts: Iterable[str]) -> tuple[bytes, ...]:
-    """Return the contents of the datagrams that tell of these hosts."""
-    every = sorted(hosts)
-    digest = digest_hosts(every)
-    starts = range(0, max(len(every), 1), MAX_HOSTS)
+    """Encode the covered hosts as the contents of one or more datagrams."""
+    host_list = sorted(hosts)
+    digest = digest_hosts(host_list)
+    offsets = range(0, max(len(host_list), 1), MAX_HOSTS)
     return tuple(
-        _COVERAGE.pack(digest, part, len(starts))
-        + pack_hosts(every[start : start + MAX_HOSTS])
-        for part, start in enumerate(starts)
+        _COVERAGE.pack(digest, part, len(offsets))
+        + pack_hosts(host_list[offset : offset + MAX_HOSTS])
+        for part, offset in enumerate(offsets)
     )
 
 
 def unpack_coverage(content: bytes) -> Coverage:
-    """Return a part of the hosts; raise MalformedEnvelope."""
+    """Decode one part of the hosts; raise MalformedEnvelope if invalid."""
     head = unpack_head(_COVERAGE, content)
     hosts = unpack_hosts(content[_COVERAGE.size :])
     return Coverage._make((*head, hosts))
--- a/packages/keelgap/src/keelgap/packets/envelopes.py
+++ b/packages/keelgap/src/keelgap/packets/envelopes.py
@@ -1,11 +1,11 @@
-"""Messages between balancers and agents about packet flows.
-
-A datagram begins with kind, hop, slots and priority (an octet each), time
-left (2 octets) and service tag (4), then the sender's stamp: a revision (8)
-and a flag (1), all in network order.  A packet, a flow key or a report
-follows.  With an OPEN or a TRY envelope three spans in milliseconds (2 octets
-each) come before the packet.  A packet is at most 1,240 octets, so nothing is
-fragmented.
+"""Encoding of the datagrams between balancers and agents.
+
+The header consists of kind, hop, slots and priority (1 octet each), time left
+(2) and service tag (4), followed by the sender's stamp: a revision (8) and a
+flag (1), all in network byte order.  The content follows: a packet, a flow key
+or a report, for example.  In OPEN and TRY envelopes three durations in
+milliseconds (2 octets each) precede the packet.  Packets have at most 1,240
+octets, so that datagrams are not fragmented.
 """
 
 import struct
@@ -34,229 +34,240 @@
     'unpack_report',
 )
 
-_HEAD: Final = struct.Struct('!BBBBhIQ?')
-_WAIT: Final = struct.Struct('!HHH')
-#: Busy, flows, answer_ms and flags; all that earlier releases know.
+_HEADER: Final = struct.Struct('!BBBBhIQ?')
+_CALLER_WAIT: Final = struct.Struct('!HHH')
+#: Busy, flows, answer_ms and flags; the whole report in earlier releases.
 _REPORT: Final = struct.Struct('!HHHB')
-#: Requests that wait, and the work of one.
-_REPORT_MORE: Final = struct.Struct('!HH')
-_LONG_REPORT_LENGTH: Final = _REPORT.size + _REPORT_MORE.size
-#: Flags of a report.  Earlier releases take any of them for a closed agent.
-_CLOSED: Final = 1
-_EJECTED: Final = 2
-_WANTS_TRIAL: Final = 4
-#: The latest form of reports; a balancer states the one that it reads in the
-#: hop of HELLO and ASK envelopes, earlier releases 0.
+#: Fields ``queued`` and ``work_ms``.
+_REPORT_EXTENSION: Final = struct.Struct('!HH')
+_LONG_REPORT_LENGTH: Final = _REPORT.size + _REPORT_EXTENSION.size
+#: Flags of a report.  Earlier releases interpret any of them as closed.
+_CLOSED_FLAG: Final = 1
+_EJECTED_FLAG: Final = 2
+_WANTS_TRIAL_FLAG: Final = 4
+#: Latest format of reports.  A balancer sends the format that it reads in the
+#: hop field of HELLO and ASK envelopes; earlier releases send 0.
 REPORT_FORMAT: Final = 1
-HEAD_LENGTH: Final = _HEAD.size
-#: The highest value of a report's field.
-_MOST: Final = 65535
-_MOST_OCTET: Final = 255
-_MOST_LEFT: Final = 32767
+HEAD_LENGTH: Final = _HEADER.size
+#: Upper bounds of the unsigned and signed header and report fields.
+_MAX_UINT16: Final = 65535
+_MAX_UINT8: Final = 255
+_MAX_INT16: Final = 32767
 
 
 class EnvelopeKind(IntEnum):
-    """What an envelope says."""
+    """Kinds of envelopes, with their direction and meaning."""
 
-    #: Balancer to agent: a packet of a flow that the agent should hold.
+    #: Balancer to agent: a packet of a flow that the agent is expected to
+    #: hold.
     FORWARD = 1
     #: Balancer to agent: the first packet of a flow.
     OPEN = 2
-    #: Balancer to agent: do you hold the flow of this packet?
+    #: Balancer to agent: asks whether the agent holds the flow of a packet.
     SEARCH = 3
-    #: Agent to balancer: not held here, or not taken; the packet comes back.
+    #: Agent to balancer: returns a packet whose flow the agent does not hold
+    #: or declines.
     MISS = 4
-    #: Agent to balancer: this flow is held here; a flow key follows.
+    #: Agent to balancer: the agent holds the flow; the content is its key.
     OWNED = 5
-    #: Balancer to agent: please report your load for some seconds; an
-    #: UpstreamNotice follows, as with ASK.
+    #: Balancer to agent: requests load reports for some seconds; the content
+    #: is an UpstreamNotice.
     HELLO = 6
-    #: Agent to balancer: a LoadReport follows.
+    #: Agent to balancer: the content is a LoadReport.
     REPORT = 7
-    #: Balancer to balancer: what I hold and whom I know.
+    #: Balancer to balancer: the state and the peers known to the sender.
     GOSSIP = 8
-    #: Balancer to agent: please report your load once.
+    #: Balancer to agent: requests a single load report; the content is an
+    #: UpstreamNotice.
     ASK = 9
-    #: Agent to directory node: flows that I hold; a Registration follows.
+    #: Agent to directory node: registers flows; the content is a
+    #: Registration.
     REGISTER = 10
-    #: Directory node to agent: begin a new stream of registrations.
+    #: Directory node to agent: requests a new stream of registrations.
     RESYNC = 11
-    #: Balancer to directory node: who holds these flows?  A Question follows.
+    #: Balancer to directory node: the content is a LookupRequest.
     LOOKUP = 12
-    #: Directory node to balancer: a Lookup follows.
+    #: Directory node to balancer: the content is a LookupResponse.
     FOUND = 13
-    #: Directory node to balancer: a Coverage follows.
+    #: Directory node to balancer: the content is a Coverage.
     COVERED = 14
-    #: Balancer to agent: as OPEN, of a request that its caller may repeat,
-    #: to find out whether an ejected upstream serves again.
+    #: Balancer to agent: like OPEN, for a request that its caller may repeat.
+    #: Serves as a trial whether an ejected upstream has recovered.
     TRY = 15
-    #: Balancer to balancer: callers that were refused a moment ago; a list of
-    #: RefusedCaller follows.
+    #: Balancer to balancer: callers that were just refused; the content is a
+    #: list of RefusedCaller.
     REFUSED = 16
-    #: Balancer to balancer: I have just begun, what do you list?  A
-    #: ServedQuestion follows.
+    #: Balancer to balancer: a balancer that just started asks for the hosts
+    #: that others list; the content is a ServedHostsRequest.
     SERVED_ASKED = 17
-    #: Balancer to balancer: the answer; a list of ServedHost follows.
+    #: Balancer to balancer: the response; the content is a list of
+    #: ServedHost.
     SERVED_TOLD = 18
 
 
 _KINDS: Final = frozenset(int(kind) for kind in EnvelopeKind)
-#: Those with the first packet of a flow, that say how long a caller waits.
+#: Kinds that carry the first packet of a flow, and a CallerWait.
 OPENING_KINDS: Final = frozenset((EnvelopeKind.OPEN, EnvelopeKind.TRY))
 
 
 class CallerWait(NamedTuple):
-    """How long the caller of a new flow has waited, and will wait."""
+    """How long the caller of a new flow has waited and will still wait."""
 
-    #: Milliseconds since it first asked for its request, as far as is known.
+    #: Milliseconds since its first attempt at the request, if known.
     age_ms: int
-    #: Milliseconds until it leaves, if this is its first try.
+    #: Milliseconds until it gives up, if this is its first attempt.
     patience_ms: int
-    #: Milliseconds for which it surely stays, even if this is its second try.
+    #: Milliseconds until it gives up at the earliest, which is the case if
+    #: this is its second attempt.
     assured_ms: int
 
 
-#: Of a caller of whom nothing else is known; no request lasts longer.
-JUST_BEGUN: Final = CallerWait(0, _MOST, _MOST)
+#: For a caller about whom nothing is known; no request lasts longer.
+JUST_BEGUN: Final = CallerWait(0, _MAX_UINT16, _MAX_UINT16)
 
 
 class Envelope(NamedTuple):
-    """One datagram between processes."""
+    """A datagram between balancers and agents, without the sender's stamp."""
 
     kind: int
-    #: How many agents were asked before this one; of HELLO and ASK the form of
-    #: reports that the sender reads.
+    #: Number of agents asked before this one.  In HELLO and ASK: the format
+    #: of reports that the sender reads.
     hop: int
-    #: Requests that the upstream runs at once, as a balancer knows; else 0.
+    #: Requests that the upstream runs concurrently, according to the
+    #: balancer; 0 if unknown.
     slots: int
-    #: Of a caller's packet: 0 goes first under overload.
+    #: Priority of a caller's packet; 0 is served first under overload.
     priority: int
-    #: Of a new flow: milliseconds until its answer would be late; below 0 it
-    #: is late already.  Of an open flow: milliseconds within which an answer
-    #: to a new request is in time; 0 if the balancer does not know, and then
-    #: its priority says nothing.  Of MISS: milliseconds until there would be
-    #: room; 0 if that is not the reason.
+    #: For a new flow: milliseconds until a response would be late; negative
+    #: if it is late already.  For an open flow: milliseconds within which the
+    #: response to a new request is in time; 0 if the balancer does not know,
+    #: in which case the priority is meaningless.  For MISS: milliseconds until
+    #: there would be capacity; 0 if lack of capacity is not the reason.
     left_ms: int
-    #: Stands for the service that the sender means.
+    #: Tag of the service for which the envelope is meant.
     service_tag: int
     content: bytes
-    #: Of a new flow.
+    #: Set for new flows only.
     wait: CallerWait = JUST_BEGUN
 
 
 class Stamp(NamedTuple):
-    """What the sender of an envelope knows of the store's state."""
+    """What the sender of an envelope knows about the state of the store."""
 
-    #: Revision of the latest change of the store that it has heard of, from
-    #: whomever; 0 if of none.
+    #: Revision of the latest change of the store known to the sender from any
+    #: source; 0 if none.
     latest_change: int
-    #: Whether entries of living upstreams may be missing from the store,
-    #: because a balancer could not reach it a moment ago.
+    #: Whether entries of live upstreams may be missing from the store,
+    #: because a balancer recently failed to reach it.
     may_lack_entries: bool
 
 
-#: Of a sender that has heard nothing.
+#: For a sender that knows nothing about the store.
 NO_STAMP: Final = Stamp(0, may_lack_entries=False)
 
 
 class LoadReport(NamedTuple):
-    """What an agent knows of its own upstream."""
+    """Load and health of an upstream, as reported by its agent."""
 
-    #: Requests at work at the upstream, and new flows that wait for it.
+    #: Requests that run at the upstream, plus new flows queued for it.
     busy: int
-    #: Open flows.
+    #: Number of open flows.
     flows: int
-    #: Mean time to the first octet of an answer, in milliseconds; 0 if none.
+    #: Mean milliseconds until the first octet of a response; 0 if unknown.
     answer_ms: int
-    #: Whether the agent or its upstream takes no new flows.
+    #: Whether the agent or its upstream accepts no new flows.
     closed: bool
-    #: Whether the upstream fails requests, so that only TRY envelopes and
-    #: those that found nobody else are taken.
+    #: Whether the upstream is ejected because it fails requests.  Its agent
+    #: accepts only TRY envelopes, and flows that no other agent accepted.
     is_ejected: bool = False
-    #: Whether a request that may be repeated should try it again.
+    #: Whether a repeatable request should be sent as a trial.
     wants_trial: bool = False
-    #: Requests among ``busy`` that wait at the agent.
+    #: Number of requests among ``busy`` that are queued at the agent.
     waiting: int = 0
-    #: Milliseconds that one request keeps one slot of the upstream at work,
-    #: on the average; 0 if that is not known.
+    #: Mean milliseconds for which a request occupies a slot of the upstream;
+    #: 0 if unknown.
     work_ms: int = 0
 
 
 def compute_service_tag(service: str) -> int:
-    """Return the 32-bit tag of a service's name."""
+    """Return the 32-bit tag of a service name."""
     return crc32(service.encode())
 
 
 def pack_envelope(envelope: Envelope, stamp: Stamp) -> bytes:
-    """Return the octets of an envelope with its sender's stamp."""
-    head = _HEAD.pack(
+    """Encode an envelope and its sender's stamp, clamping field values."""
+    header = _HEADER.pack(
         envelope.kind,
-        min(envelope.hop, _MOST_OCTET),
-        min(envelope.slots, _MOST_OCTET),
-        min(envelope.priority, _MOST_OCTET),
-        max(min(envelope.left_ms, _MOST_LEFT), -_MOST_LEFT),
+        min(envelope.hop, _MAX_UINT8),
+        min(envelope.slots, _MAX_UINT8),
+        min(envelope.priority, _MAX_UINT8),
+        max(min(envelope.left_ms, _MAX_INT16), -_MAX_INT16),
         envelope.service_tag,
         *stamp,
     )
     if envelope.kind in OPENING_KINDS:
-        head += _WAIT.pack(*(max(min(ms, _MOST), 0) for ms in envelope.wait))
-    return head + envelope.content
+        header += _CALLER_WAIT.pack(
+            *(max(min(ms, _MAX_UINT16), 0) for ms in envelope.wait)
+        )
+    return header + envelope.content
 
 
 def unpack_envelope(datagram: bytes) -> tuple[Envelope, Stamp]:
-    """Return envelope and stamp of a datagram; raise MalformedEnvelope."""
+    """Decode a datagram; raise MalformedEnvelope if invalid."""
     if len(datagram) < HEAD_LENGTH or datagram[0] not in _KINDS:
         raise MalformedEnvelope(len(datagram))
-    *head, latest_change, may_lack_entries = _HEAD.unpack_from(datagram)
+    *header, latest_change, may_lack_entries = _HEADER.unpack_from(datagram)
     stamp = Stamp(latest_change, may_lack_entries)
     start = HEAD_LENGTH
     wait = JUST_BEGUN
     if datagram[0] in OPENING_KINDS:
-        start += _WAIT.size
+        start += _CALLER_WAIT.size
         if len(datagram) < start:
             raise MalformedEnvelope(len(datagram))
-        wait = CallerWait._make(_WAIT.unpack_from(datagram, HEAD_LENGTH))
-    return Envelope._make((*head, datagram[start:], wait)), stamp
+        wait = CallerWait._make(_CALLER_WAIT.unpack_from(datagram, HEAD_LENGTH))
+    return Envelope._make((*header, datagram[start:], wait)), stamp
 
 
 def pack_report(report: LoadReport, report_format: int = 0) -> bytes:
-    """Return the octets of a report; values too large are cut.
+    """Encode a report, clamping field values.
 
-    A receiver of an earlier release, with format 0, reads the short form.
+    Format 0, which earlier releases read, omits ``queued`` and ``work_ms``.
     """
     flags = (
-        report.closed * _CLOSED
-        | report.is_ejected * _EJECTED
-        | report.wants_trial * _WANTS_TRIAL
+        report.closed * _CLOSED_FLAG
+        | report.is_ejected * _EJECTED_FLAG
+        | report.wants_trial * _WANTS_TRIAL_FLAG
     )
-    short = _REPORT.pack(
-        min(report.busy, _MOST),
-        min(report.flows, _MOST),
-        min(report.answer_ms, _MOST),
+    base_report = _REPORT.pack(
+        min(report.busy, _MAX_UINT16),
+        min(report.flows, _MAX_UINT16),
+        min(report.answer_ms, _MAX_UINT16),
         flags,
     )
     if not report_format:
-        return short
-    return short + _REPORT_MORE.pack(
-        min(report.waiting, _MOST),
-        min(report.work_ms, _MOST),
+        return base_report
+    return base_report + _REPORT_EXTENSION.pack(
+        min(report.waiting, _MAX_UINT16),
+        min(report.work_ms, _MAX_UINT16),
     )
 
 
 def unpack_report(content: bytes) -> LoadReport:
-    """Return a report of either form; raise MalformedEnvelope."""
+    """Decode a report of either format; raise MalformedEnvelope."""
     if len(content) not in {_REPORT.size, _LONG_REPORT_LENGTH}:
         raise MalformedEnvelope(len(content))
     busy, flows, answer_ms, flags = _REPORT.unpack_from(content)
-    more = content[_REPORT.size :]
-    waiting, work_ms = _REPORT_MORE.unpack(more) if more else (0, 0)
+    extension = content[_REPORT.size :]
+    waiting, work_ms = (
+        _REPORT_EXTENSION.unpack(extension) if extension else (0, 0)
+    )
     return LoadReport(
         busy,
         flows,
         answer_ms,
-        closed=bool(flags & _CLOSED),
-        is_ejected=bool(flags & _EJECTED),
-        wants_trial=bool(flags & _WANTS_TRIAL),
+        closed=bool(flags & _CLOSED_FLAG),
+        is_ejected=bool(flags & _EJECTED_FLAG),
+        wants_trial=bool(flags & _WANTS_TRIAL_FLAG),
         waiting=waiting,
         work_ms=work_ms,
     )
--- a/packages/keelgap/src/keelgap/packets/exceptions.py
+++ b/packages/keelgap/src/keelgap/packets/exceptions.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a datagram between processes."""
+"""Errors in datagrams between balancers and agents."""
 
 from keelgap.exceptions import KeelgapError
 
@@ -6,6 +6,6 @@
 
 
 class MalformedEnvelope(KeelgapError):
-    """A datagram between processes that cannot be read."""
+    """A datagram from another process could not be decoded."""
 
     code = 'malformed_envelope'
--- a/packages/keelgap/src/keelgap/packets/features.py
+++ b/packages/keelgap/src/keelgap/packets/features.py
@@ -1,8 +1,8 @@
-"""Which optional decisions a deployment calls for.
+"""Optional features, and how the settings enable them.
 
-Each can be set in the section ``features`` of both packet programs.  Left to
-``auto``, what the operators of the platform agreed on for the deployment
-decides, as the platform's adapter reads it.
+Each feature can be set in the section ``features`` of the balancer and the
+agent.  With ``auto`` the terms decide that the operators of the platform agreed
+on for the deployment; the platform's adapter parses them.
 """
 
 from collections.abc import Set as AbstractSet
@@ -22,7 +22,7 @@
 
 @unique
 class Choice(Enum):
-    """Whether a decision is made."""
+    """Whether a feature is enabled."""
 
     AUTO = 'auto'
     ON = 'on'
@@ -31,37 +31,37 @@
 
 @unique
 class Term(Enum):
-    """What the operators of a platform may agree on for a deployment."""
+    """Condition that the operators may agree on for a deployment."""
 
-    #: Upstreams may fail while they say that they are well.
+    #: Upstreams may fail requests while they report that they are healthy.
     UPSTREAM_HEALTH = 'upstream_health'
-    #: There may be more requests than the upstreams can serve.
+    #: Requests may exceed the capacity of the upstreams.
     OVERLOAD = 'overload'
 
 
 class FeatureSettings(NamedTuple):
-    """Section ``features``: the same in balancers and agents."""
+    """Section ``features`` of the settings of balancers and agents."""
 
-    #: What was agreed on, in the platform's words, with commas between.
+    #: Agreed terms under the platform's names, separated by commas.
     terms: str = ''
-    #: Take upstreams that fail requests out, and try them again.
+    #: Eject upstreams that fail requests, and send trials to them.
     ejection: Choice = Choice.AUTO
-    #: Order all requests of an upstream, not only the first of each flow.
+    #: Schedule all requests to an upstream, not only the first of each flow.
     scheduling: Choice = Choice.AUTO
-    #: Place new flows where their answers are expected first.
+    #: Place new flows at the upstream with the earliest expected response.
     placement: Choice = Choice.AUTO
-    #: Early refusal of what cannot be served in time: ``room`` of the agent,
-    #: ``admission`` of the balancer.  Off unless asked for: of callers whose
-    #: zone has less room than others, fewer are served.
+    #: Refuse early what cannot be served in time: ``room`` in the agent,
+    #: ``admission`` in the balancer.  Off by default, because it serves fewer
+    #: of the callers whose zone has less capacity than others.
     admission: Choice = Choice.OFF
 
 
-#: Where the settings file has no such section.
+#: Used if the settings file has no section ``features``.
 NO_FEATURE_SETTINGS: Final = FeatureSettings()
 
 
 class Features(NamedTuple):
-    """The decisions that are made in this process."""
+    """Features that are enabled in this process."""
 
     ejection: bool = False
     scheduling: bool = False
@@ -69,7 +69,7 @@
     admission: bool = False
 
 
-#: What is served without any of them.
+#: All features disabled.
 NO_FEATURES: Final = Features()
 
 
@@ -77,20 +77,20 @@
     settings: FeatureSettings,
     terms: AbstractSet[Term],
 ) -> Features:
-    """Return what the settings, and else the terms, call for."""
+    """Return the enabled features; ``auto`` takes the default of the terms."""
     has_health = Term.UPSTREAM_HEALTH in terms
     return Features(
-        ejection=_choose(settings.ejection, called_for=has_health),
-        scheduling=_choose(settings.scheduling, called_for=has_health),
-        placement=_choose(settings.placement, called_for=has_health),
-        admission=_choose(
+        ejection=_resolve(settings.ejection, default=has_health),
+        scheduling=_resolve(settings.scheduling, default=has_health),
+        placement=_resolve(settings.placement, default=has_health),
+        admission=_resolve(
             settings.admission,
-            called_for=Term.OVERLOAD in terms,
+            default=Term.OVERLOAD in terms,
         ),
     )
 
 
-def _choose(choice: Choice, *, called_for: bool) -> bool:
-    if choice is Choice.AUTO:
-        return called_for
-    return choice is Choice.ON
+def _resolve(mode: Choice, *, default: bool) -> bool:
+    if mode is Choice.AUTO:
+        return default
+    return mode is Choice.ON
--- a/packages/keelgap/src/keelgap/packets/formats.py
+++ b/packages/keelgap/src/keelgap/packets/formats.py
@@ -1,6 +1,6 @@
-"""What the programs read in a packet, whatever its layout.
+"""Access to the fields of packets, independent of their layout.
 
-A platform's adapter makes a PacketFormat; nothing else knows the layout.
+The platform's adapter creates the PacketFormat; no other code knows the layout.
 """
 
 from collections.abc import Callable
@@ -14,70 +14,72 @@
     'PacketFormat',
 )
 
-#: Octets of a flow key: address and port of the caller, then of the route.
+#: Octets of a flow key: address and port of the caller, then those of the
+#: route.
 FLOW_KEY_LENGTH: Final = 12
 
 
 class Flags(IntFlag):
-    """The flags of a packet, in our own order."""
+    """Flags of a packet; the values do not depend on the layout."""
 
     SYN = 1
     ACK = 2
     FIN = 4
     RST = 8
-    #: The upstream did not take this packet and gave it back unchanged.
+    #: The upstream did not accept the packet and returned it unchanged.
     BOUNCED = 16
 
 
-#: After one of these the sender of the packet has nothing more to say.
+#: Flags after which the sender of the packet sends no more data.
 ENDS_FLOW: Final = int(Flags.FIN | Flags.RST)
 
 
 class PacketFormat(NamedTuple):
-    """How to read and mark packets of one layout.
+    """Functions that read and modify packets of one layout.
 
-    All functions take a whole datagram of at least header_length octets.
+    All functions expect a datagram of at least ``header_length`` octets.
     """
 
     header_length: int
-    #: Whether the datagram has exactly the length that its header says.
+    #: Whether the length of the datagram matches its header.
     is_whole: Callable[[bytes], bool]
-    #: Flow key of a packet that the caller sent.
+    #: Flow key of a packet from the caller.
     caller_key: Callable[[bytes], bytes]
-    #: Flow key of a packet that the upstream sent.
+    #: Flow key of a packet from the upstream.
     upstream_key: Callable[[bytes], bytes]
-    #: Route key: address and port of the route in a caller's packet.
+    #: Route key, the route's address and port, of a packet from the caller.
     route_key: Callable[[bytes], bytes]
-    #: Route key of an address and a port, as tables name them.
+    #: Route key for an address and port from the routing table.
     make_route_key: Callable[[str, int], bytes]
-    #: A combination of Flags, as a plain integer.
+    #: Combination of Flags as a plain integer.
     flags: Callable[[bytes], int]
-    #: Octets of data behind the header.
+    #: Octets of payload after the header.
     data_length: Callable[[bytes], int]
-    #: Number of the first octet of data among all that its sender sends.
+    #: Sequence number of the first payload octet.
     sequence: Callable[[bytes], int]
-    #: How often the caller has sent this opening packet before.
+    #: How often the caller sent this opening packet before.
     copies: Callable[[bytes], int]
-    #: Number of the next octet that a caller expects of its upstream.
+    #: Sequence number of the next octet that the caller expects.
     acknowledged: Callable[[bytes], int]
-    #: IPv4 address of the caller in a packet that the upstream sent.
+    #: IPv4 address of the caller in a packet from the upstream.
     destination_host: Callable[[bytes], str]
-    #: IPv4 address of the caller in a packet that the caller sent.
+    #: IPv4 address of the caller in a packet from the caller.
     source_host: Callable[[bytes], str]
-    #: The packet with a 32-bit mark that comes back with a bounce.
+    #: The packet with a 32-bit mark, which the upstream returns if it bounces
+    #: the packet.
     with_mark: Callable[[bytes, int], bytes]
-    #: The mark of a bounced packet.
+    #: Mark of a bounced packet.
     mark: Callable[[bytes], int]
-    #: A bounced packet as its sender wrote it.
+    #: The original of a bounced packet.
     without_bounce: Callable[[bytes], bytes]
-    #: A reset of the flow for the caller who sent this packet.
+    #: Packet that resets the flow, addressed to the caller of this packet.
     make_reset: Callable[[bytes], bytes]
-    #: Id of the request that begins in a caller's packet, for logs only.
+    #: Id of the request that starts in a packet from the caller, for logs.
     find_request_id: Callable[[bytes], str | None]
-    #: Status of the answer that begins in an upstream's packet, or 0.
+    #: Status of the response that starts in a packet from the upstream, or 0.
     read_status: Callable[[bytes], int]
-    #: Whether the answer that begins in an upstream's packet says that the
-    #: request was not run, for instance for want of room.
+    #: Whether the response that starts in a packet from the upstream states
+    #: that the request was not run, for example due to lack of capacity.
     says_not_run: Callable[[bytes], bool]
-    #: A flow key as text for logs: ``host:port>host:port``.
+    #: Flow key as text for logs: ``host:port>host:port``.
     describe_key: Callable[[bytes], str]
--- a/packages/keelgap/src/keelgap/packets/generations.py
+++ b/packages/keelgap/src/keelgap/packets/generations.py
@@ -1,4 +1,4 @@
-"""A bounded table that forgets what was not used for a while."""
+"""A bounded cache that evicts values not used recently."""
 
 from typing import Generic, TypeVar
 
@@ -8,26 +8,31 @@
 
 
 class Generations(Generic[ValueT]):
-    """Values by flow key, in two generations.
+    """Cache of values by flow key, in two generations.
 
-    A value lives for one to two periods after it was last put or read; less
-    if more than ``most`` are put meanwhile.
+    A value expires one to two periods after it was last put or read, or
+    earlier if the young generation reaches ``max_per_generation`` values.
     """
 
-    def __init__(self, period: float, most: int, now: float) -> None:
-        """Start empty; the period is in seconds."""
+    def __init__(
+        self, period: float, max_per_generation: int, now: float
+    ) -> None:
+        """Initialize an empty cache; the period is in seconds."""
         self.period = period
-        self.most = most
+        self.max_per_generation = max_per_generation
         self.young: dict[bytes, ValueT] = {}
         self.old: dict[bytes, ValueT] = {}
         self.rotate_at = now + period
 
     def __len__(self) -> int:
-        """Return how many values are held, at most."""
+        """Return an upper bound of the number of values.
+
+        A key that was put again may be in both generations.
+        """
         return len(self.young) + len(self.old)
 
     def get(self, key: bytes) -> ValueT | None:
-        """Return a value if there is one."""
+        """Return a value or None, and keep the value young."""
         found = self.young.get(key)
         if found is None:
             found = self.old.pop(key, None)
@@ -36,18 +41,18 @@
         return found
 
     def put(self, key: bytes, value: ValueT) -> None:
-        """Take a value in place of a former one."""
+        """Store a value, replacing an earlier one."""
         self.young[key] = value
-        if len(self.young) >= self.most:
+        if len(self.young) >= self.max_per_generation:
             self._rotate()
 
     def forget(self, key: bytes) -> None:
-        """Drop a value."""
+        """Remove a value if present."""
         self.young.pop(key, None)
         self.old.pop(key, None)
 
     def expire(self, now: float) -> None:
-        """Forget the generation that was not used."""
+        """Evict the old generation when the period is over."""
         if now >= self.rotate_at:
             self.rotate_at = now + self.period
             self._rotate()
--- a/packages/keelgap/src/keelgap/packets/metrics.py
+++ b/packages/keelgap/src/keelgap/packets/metrics.py
@@ -1,7 +1,8 @@
-"""The metrics page of a packet program.
+"""Metrics page of the packet balancer and the packet agent.
 
-The library costs 0.16 processor seconds to import.  A thread does that at
-the first call, while packets go on; until it is done the page is not there.
+Importing prometheus_client takes 0.16 processor seconds.  A thread imports it
+at the first request, so that packets are forwarded meanwhile; until then the
+page responds with status 503.
 """
 
 from collections.abc import Callable, Iterator
@@ -20,36 +21,36 @@
 METRICS_PATH: Final = '/metrics'
 _OK: Final = 200
 _UNAVAILABLE: Final = 503
-_LOADING: Final = Page(_UNAVAILABLE, 'text/plain', b'call again\n')
+_LOADING_PAGE: Final = Page(_UNAVAILABLE, 'text/plain', b'call again\n')
 
-#: Names and present values of what is not counted but held.
+#: Returns the names and current values of all gauges.
 Gauges = Callable[[], dict[str, float]]
 
 
 class _Renderer:
-    """Loads the library once, and renders with it."""
+    """Imports prometheus_client in a thread, and renders the metrics."""
 
     def __init__(self, counters: Counters, gauges: Gauges) -> None:
         self.counters = counters
         self.gauges = gauges
         self.thread: 'Thread | None' = None
-        self.library: Any = None
+        self.prometheus: Any = None
 
     def render(self, query: str) -> Page:
-        """Return the page, or that it is not there yet."""
-        if self.library is None:
+        """Return the metrics page, or status 503 during the import."""
+        if self.prometheus is None:
             if self.thread is None:
                 self.thread = _start_thread(self._load)
-            return _LOADING
-        library = self.library
-        registry = library.CollectorRegistry()
+            return _LOADING_PAGE
+        prometheus = self.prometheus
+        registry = prometheus.CollectorRegistry()
         registry.register(self)
-        body = library.generate_latest(registry)
-        return Page(_OK, library.CONTENT_TYPE_LATEST, body)
+        body = prometheus.generate_latest(registry)
+        return Page(_OK, prometheus.CONTENT_TYPE_LATEST, body)
 
     def collect(self) -> Iterator['Metric']:
-        """Yield all families; the library calls this."""
-        core = self.library.core
+        """Yield all metric families; called by prometheus_client."""
+        core = self.prometheus.core
         events = core.CounterMetricFamily(
             'keelgap_events',
             'Decisions and drops, by name.',
@@ -83,7 +84,7 @@
     def _load(self) -> None:
         import prometheus_client.core  # noqa: PLC0415, WPS433, WPS301
 
-        self.library = prometheus_client
+        self.prometheus = prometheus_client
 
 
 def _start_thread(call: Callable[[], None]) -> 'Thread':
@@ -106,5 +107,5 @@
     counters: Counters,
     gauges: Gauges,
 ) -> Callable[[str], Page]:
-    """Return what serves the metrics of a process."""
+    """Return the handler of the metrics page of a process."""
     return _Renderer(counters, gauges).render
--- a/packages/keelgap/src/keelgap/packets/notices.py
+++ b/packages/keelgap/src/keelgap/packets/notices.py
@@ -1,11 +1,12 @@
-"""What balancers tell an agent of its upstream and its service.
+"""Encoding of the notices from balancers to agents.
 
-Agents read nothing of the store.  A notice has revision (8 octets), upstream
-tag (4), upstream revision (8), flags (1) whether the upstream started a moment
-ago and whether the availability zone is out of service, milliseconds until the
-upstream is warm (4) and new flows that it bears a second until then (4, a
-float), all in network order; then the hosts of the service's flow directory,
-by shard.
+Agents do not read the store; a notice tells an agent about its upstream and
+service.  It consists of the revision (8 octets), upstream tag (4), upstream
+revision (8), two flags (1 each) whether the upstream started recently and
+whether the availability zone is out of service, milliseconds until the
+upstream is warm (4) and new flows per second that it accepts until then (4, a
+float), all in network byte order.  The hosts of the service's flow directory
+follow, by shard.
 """
 
 import struct
@@ -18,52 +19,54 @@
 __all__ = ('UpstreamNotice', 'pack_notice', 'unpack_notice')
 
 _NOTICE: Final = struct.Struct('!QIQ??If')
-_LONGEST_MS: Final = 0xFFFFFFFF
+_MAX_UINT32: Final = 0xFFFFFFFF
 
 
 class UpstreamNotice(NamedTuple):
-    """What a balancer's catalog says of the upstream beside an agent."""
+    """What the catalog of a balancer contains about an agent's upstream."""
 
-    #: Revision of the catalog; the later of two notices counts.
+    #: Revision of the catalog; the later of two notices wins.
     revision: int
-    #: Hosts of the agents that keep each shard of the service's directory;
-    #: none where the service needs no directory.
+    #: Hosts of the directory nodes, by shard; empty if the service needs no
+    #: directory.
     shards: tuple[tuple[str, ...], ...] = ()
-    #: Stands for this start of the upstream; 0 if the sender is not sure.
+    #: Tag of the current start of the upstream; 0 if the sender is not sure.
     upstream_tag: int = 0
-    #: Revision of that upstream's entry; the later of two notices counts.
+    #: Revision of the upstream's entry; the later of two notices wins.
     upstream_revision: int = 0
-    #: Whether the upstream started a moment ago.
+    #: Whether the upstream started recently.
     is_young: bool = False
     #: Whether the operators took the availability zone out of service.
     is_evacuated: bool = False
     #: Milliseconds until the upstream is warm; 0 if it is.
     warm_up_ms: int = 0
-    #: New flows a second that it bears until then; 0 if none are stated.
+    #: New flows per second that it accepts until then; 0 if no limit is set.
     cold_per_second: float = 0
 
     @property
     def directory(self) -> FlowDirectory:
-        """Return the directory of the service."""
+        """Return the placement of the service's directory."""
         return FlowDirectory(self.revision, self.shards)
 
 
 def pack_notice(notice: UpstreamNotice) -> bytes:
-    """Return the octets of a notice."""
-    head = _NOTICE.pack(
+    """Encode a notice."""
+    header = _NOTICE.pack(
         notice.revision,
         notice.upstream_tag,
         notice.upstream_revision,
         notice.is_young,
         notice.is_evacuated,
-        min(notice.warm_up_ms, _LONGEST_MS),
+        min(notice.warm_up_ms, _MAX_UINT32),
         notice.cold_per_second,
     )
-    return head + pack_hosts(host for nodes in notice.shards for host in nodes)
+    return header + pack_hosts(
+        host for nodes in notice.shards for host in nodes
+    )
 
 
 def unpack_notice(content: bytes) -> UpstreamNotice:
-    """Return a notice; raise MalformedEnvelope."""
+    """Decode a notice; raise MalformedEnvelope if invalid."""
     revision, *rest = unpack_head(_NOTICE, content)
     hosts = unpack_hosts(content[_NOTICE.size :])
     if len(hosts) % COPIES:
--- a/packages/keelgap/src/keelgap/packets/octets.py
+++ b/packages/keelgap/src/keelgap/packets/octets.py
@@ -1,4 +1,4 @@
-"""Parts of datagrams between processes: heads, hosts and rows."""
+"""Encoding of headers, hosts and fixed-length records in datagrams."""
 
 import socket
 import struct
@@ -19,7 +19,7 @@
 
 
 def unpack_head(layout: struct.Struct, content: bytes) -> tuple[Any, ...]:
-    """Return the fields that content begins with; raise MalformedEnvelope."""
+    """Unpack the leading fields; raise MalformedEnvelope if too short."""
     try:
         return layout.unpack_from(content)
     except struct.error as error:
@@ -27,17 +27,17 @@
 
 
 def pack_hosts(hosts: Iterable[str]) -> bytes:
-    """Return four octets for each IPv4 host."""
+    """Encode IPv4 hosts with four octets each."""
     return b''.join(map(socket.inet_aton, hosts))
 
 
 def unpack_hosts(octets: bytes) -> tuple[str, ...]:
-    """Return the hosts that octets hold; raise MalformedEnvelope."""
+    """Decode IPv4 hosts; raise MalformedEnvelope if octets are left over."""
     return tuple(map(socket.inet_ntoa, split_octets(octets, HOST_LENGTH)))
 
 
 def split_octets(octets: bytes, length: int) -> tuple[bytes, ...]:
-    """Return rows of equal length; raise MalformedEnvelope."""
+    """Split into records; raise MalformedEnvelope if octets are left over."""
     if len(octets) % length:
         raise MalformedEnvelope(len(octets))
     return tuple(
--- a/packages/keelgap/src/keelgap/packets/openings.py
+++ b/packages/keelgap/src/keelgap/packets/openings.py
@@ -1,17 +1,17 @@
-"""How callers open a flow: when they repeat the first packet, and give up."""
+"""When callers retransmit the first packet of a flow, and give up."""
 
 from typing import Final
 
 __all__ = ('OPENING_SECONDS', 'estimate_wait')
 
-#: When a caller sends each copy of an opening packet, in seconds after the
-#: first; its packets count the copies.
-_COPY_SECONDS: Final = (0, 0.2, 0.6)
+#: Times at which a caller sends an opening packet and its retransmissions, in
+#: seconds after the first; the packets count the retransmissions.
+_RETRANSMIT_SECONDS: Final = (0, 0.2, 0.6)
 
-#: A caller gives an opening up this long after its first packet.
+#: Seconds after the first packet at which a caller gives up the attempt.
 OPENING_SECONDS: Final = 1.4
 
 
 def estimate_wait(copies: int) -> float:
-    """Return for how long the caller of an opening packet has waited."""
-    return _COPY_SECONDS[min(copies, len(_COPY_SECONDS) - 1)]
+    """Return seconds since the first packet, given the retransmissions."""
+    return _RETRANSMIT_SECONDS[min(copies, len(_RETRANSMIT_SECONDS) - 1)]
--- a/packages/keelgap/src/keelgap/packets/process.py
+++ b/packages/keelgap/src/keelgap/packets/process.py
@@ -1,4 +1,4 @@
-"""What both packet programs do around their server."""
+"""Process setup that the packet balancer and the packet agent share."""
 
 import os
 import signal
@@ -32,7 +32,7 @@
 )
 
 SETTINGS_VARIABLE: Final = 'KEELGAP_SETTINGS'
-#: Log lines wait so long at most; one write serves all of them.
+#: Maximum delay of log lines, which are written together.
 _FLUSH_SECONDS: Final = 0.25
 _EXIT_BAD_SETTINGS: Final = 2
 
@@ -43,10 +43,10 @@
 
 
 class DecisionLog:
-    """Count decisions, and log those that say what decided them."""
+    """Count decisions, and log those that have fields."""
 
     def __init__(self, lines: LogLines, counters: Counters) -> None:
-        """Write to the process's log."""
+        """Initialize with the log and the counters of the process."""
         self.lines = lines
         self.counters = counters
 
@@ -58,7 +58,7 @@
 
 
 class PacketProcess:
-    """The loop, the log and the counters of one process."""
+    """Event loop, log and counters of one process."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         stack: ExitStack,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Open the loop; the stack closes it."""
+        """Create the event loop; the stack closes it."""
         self.loop = EventLoop(stack, clock)
         self.lines = LogLines(program, instance, self.loop.clock)
         self.counters = Counters()
@@ -80,7 +80,7 @@
     gauges: Gauges,
     stack: ExitStack,
 ) -> None:
-    """Serve the metrics page, unless its port is 0."""
+    """Serve the metrics page, unless the port is 0."""
     if address.port:
         page = make_metrics_page(process.counters, gauges)
         serve_pages(process.loop, address, {METRICS_PATH: page}, stack)
@@ -90,19 +90,19 @@
     """A packet balancer or a packet agent."""
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
 
     def stop(self) -> None:
-        """Leave in a planned way."""
+        """Start a graceful shutdown."""
 
     def reload(self, settings: Any) -> tuple[str, ...]:
-        """Take later settings; return the names that are in force now."""
+        """Apply new settings; return the names of those in force now."""
 
 
 _SettingsT = TypeVar('_SettingsT', bound=tuple[Any, ...])
 _SocketsT = TypeVar('_SocketsT')
 
-#: Takes settings, open sockets, the process and its exit stack.
+#: Called with the settings, open sockets, the process and its exit stack.
 MakeServer = Callable[
     [_SettingsT, _SocketsT, PacketProcess, ExitStack],
     PacketServer,
@@ -114,12 +114,13 @@
     path: str | None,
     settings_type: type[_SettingsT],
     open_sockets: Callable[[_SettingsT, ExitStack], _SocketsT],
-    load_server: Callable[[], MakeServer[_SettingsT, _SocketsT]],
+    load_factory: Callable[[], MakeServer[_SettingsT, _SocketsT]],
 ) -> int:
-    """Run a server until it stops itself; return the exit status.
+    """Run a server until it stops the event loop; return the exit status.
 
-    Sockets are open before the server's code is imported: what arrives
-    meanwhile waits in them, instead of for its sender to repeat it.
+    Sockets are opened before the server's code is imported.  Packets that
+    arrive during the import queue in the sockets, so that their senders need
+    not retransmit them.
     """
     ignore_hang_up()
     path = path or os.environ.get(SETTINGS_VARIABLE, '')
@@ -127,23 +128,23 @@
         settings = load_settings(path, settings_type)
     except KeelgapError as error:
         return _exit_on(error)
-    _never_wait_for_readers()
+    _make_stdout_nonblocking()
     with ExitStack() as stack:
         try:
             sockets = open_sockets(settings, stack)
         except KeelgapError as error:
             return _exit_on(error)
         process = PacketProcess(program, settings[0].name, stack)
-        server = load_server()(settings, sockets, process, stack)
-        watch = SettingsWatch(path, settings, process.lines, server.reload)
+        server = load_factory()(settings, sockets, process, stack)
+        watcher = SettingsWatch(path, settings, process.lines, server.reload)
         handlers = {
             int(signal.SIGTERM): server.stop,
             int(signal.SIGINT): server.stop,
-            int(signal.SIGHUP): watch.reload,
+            int(signal.SIGHUP): watcher.reload,
         }
         process.loop.handle_signals(handlers, stack)
         server.start()
-        watch.start(process.loop)
+        watcher.start(process.loop)
         process.lines.tell(
             'started',
             process_seconds=round(time.process_time(), 3),
@@ -155,7 +156,7 @@
 
 
 def ignore_hang_up() -> None:
-    """Outlive a reload signal that comes before there is a handler for it."""
+    """Ignore SIGHUP, which may arrive before its handler is installed."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
@@ -164,6 +165,6 @@
     return _EXIT_BAD_SETTINGS
 
 
-def _never_wait_for_readers() -> None:
-    """Let a full pipe behind standard output refuse instead of block."""
+def _make_stdout_nonblocking() -> None:
+    """Make writes to a full pipe fail instead of block the process."""
     os.set_blocking(sys.stdout.fileno(), False)  # noqa: WPS425
--- a/packages/keelgap/src/keelgap/packets/refusals.py
+++ b/packages/keelgap/src/keelgap/packets/refusals.py
@@ -1,8 +1,8 @@
-"""What balancers tell each other of callers whose flows were refused.
+"""Encoding of the messages about refused callers between balancers.
 
-A caller that tries again does so from another port, so the routers lead it to
-another balancer.  Without this message it would count as a new caller there,
-and each refusal would bring two more callers who seem to be in time.
+A caller retries from another port, so that the routers send it to another
+balancer.  Without this message that balancer would treat it as a new caller,
+and each refusal would add two more callers that seem to be in time.
 """
 
 import struct
@@ -21,37 +21,37 @@
 
 #: Flow key, age in milliseconds and number of refusals.
 _ROW: Final = struct.Struct(f'!{FLOW_KEY_LENGTH}sHB')
-_MOST: Final = 65535
-_MOST_OCTET: Final = 255
-#: Callers in one message: 1,200 octets.
+_MAX_UINT16: Final = 65535
+_MAX_UINT8: Final = 255
+#: Maximum callers per message, which has 1,200 octets then.
 MAX_REFUSED: Final = 80
 
 
 class RefusedCaller(NamedTuple):
-    """A caller that may come back at once."""
+    """A caller that may retry immediately."""
 
     #: Key of the flow that was refused.
     key: bytes
-    #: Milliseconds since it first asked for its request.
+    #: Milliseconds since its first attempt at the request.
     age_ms: int
-    #: How often the request was refused.
+    #: Number of times the request was refused.
     refusals: int
 
 
 def pack_refused(callers: Iterable[RefusedCaller]) -> bytes:
-    """Return the content of a message; values too large are cut."""
+    """Encode refused callers, clamping field values."""
     return b''.join(
         _ROW.pack(
             caller.key,
-            min(caller.age_ms, _MOST),
-            min(caller.refusals, _MOST_OCTET),
+            min(caller.age_ms, _MAX_UINT16),
+            min(caller.refusals, _MAX_UINT8),
         )
         for caller in callers
     )
 
 
 def unpack_refused(content: bytes) -> tuple[RefusedCaller, ...]:
-    """Return the callers of a message; raise MalformedEnvelope."""
+    """Decode refused callers; raise MalformedEnvelope if invalid."""
     if len(content) % _ROW.size or len(content) > MAX_REFUSED * _ROW.size:
         raise MalformedEnvelope(len(content))
     return tuple(map(RefusedCaller._make, _ROW.iter_unpack(content)))
--- a/packages/keelgap/src/keelgap/packets/reload.py
+++ b/packages/keelgap/src/keelgap/packets/reload.py
@@ -1,4 +1,4 @@
-"""Notice that the settings file changed, with or without a signal."""
+"""Reload of the settings file on a signal or when it changes."""
 
 import os
 from collections.abc import Callable
@@ -11,15 +11,15 @@
 
 __all__ = ('SettingsWatch',)
 
-#: Pause between looks at the file.  The platform may use an address again
-#: after 2 s, so a changed service must be known before.
-_LOOK_SECONDS: Final = 0.5
+#: Interval between checks of the file.  The platform may reuse an address
+#: after 2 s, so a changed service must be applied earlier.
+_POLL_SECONDS: Final = 0.5
 
 _SettingsT = TypeVar('_SettingsT', bound=tuple[Any, ...])
 
 
 class SettingsWatch(Generic[_SettingsT]):
-    """The settings in force; a bad file changes nothing."""
+    """Reload settings; an invalid file leaves those in force unchanged."""
 
     def __init__(
         self,
@@ -28,41 +28,41 @@
         lines: LogLines,
         on_change: Callable[[_SettingsT], tuple[str, ...]],
     ) -> None:
-        """Tell on_change of later settings; it returns what it applied."""
+        """Call on_change with new settings; it returns the applied names."""
         self.path = path
         self.settings = settings
         self.lines = lines
         self.on_change = on_change
-        self.seen = self._look()
+        self.file_version = self._stat_file()
 
     def start(self, loop: EventLoop) -> None:
-        """Look at the file from time to time."""
-        loop.call_every(_LOOK_SECONDS, self.check)
+        """Check the file periodically."""
+        loop.call_every(_POLL_SECONDS, self.check)
 
     def check(self) -> None:
-        """Read the file again if it is another one."""
-        seen = self._look()
-        if seen != self.seen:
-            self.seen = seen
+        """Reload if the file was modified or replaced."""
+        file_version = self._stat_file()
+        if file_version != self.file_version:
+            self.file_version = file_version
             self.reload()
 
     def reload(self) -> None:
-        """Take the file as it is now, or keep what is in force."""
+        """Load the file, or keep the settings in force if it is invalid."""
         try:
-            later = load_settings(self.path, type(self.settings))
+            new_settings = load_settings(self.path, type(self.settings))
         except KeelgapError as error:
             self.lines.tell('reload_refused', code=error.code, error=str(error))
             return
-        changed = _list_changes(self.settings, later)
-        self.settings = later
-        applied = self.on_change(later) if changed else ()
+        changed = _list_changes(self.settings, new_settings)
+        self.settings = new_settings
+        applied = self.on_change(new_settings) if changed else ()
         self.lines.tell(
             'reloaded',
             changed=changed,
             needs_restart=[name for name in changed if name not in applied],
         )
 
-    def _look(self) -> tuple[int, int, int]:
+    def _stat_file(self) -> tuple[int, int, int]:
         try:
             status = os.stat(self.path)
         except OSError:
@@ -74,7 +74,7 @@
     before: tuple[Any, ...],
     after: tuple[Any, ...],
 ) -> list[str]:
-    """Return the names, with their sections, whose values differ."""
+    """Return the names, as section.name, of settings whose values differ."""
     sections: tuple[str, ...] = getattr(before, '_fields', ())
     return [
         f'{section}.{name}'
--- a/packages/keelgap/src/keelgap/packets/served.py
+++ b/packages/keelgap/src/keelgap/packets/served.py
@@ -1,11 +1,11 @@
-"""What balancers tell one that just began: who served what until now.
-
-A balancer that has just begun knows the store's present entries alone.  Another
-one may still list a host for a service that the host has left, and offer it
-flows.  So the new one asks, with the revision of its first catalog (8 octets)
-and a digest of what it lists (8).  Those who began before it and list something
-else answer with rows of a host (4) and the tag of a service (4), all in network
-order.
+"""Encoding of the messages by which a new balancer learns former hosts.
+
+A balancer that just started knows only the current entries of the store.
+Others may still list a host for a service that the host has left, and send it
+flows.  The new balancer therefore sends a request with the revision of its
+first catalog (8 octets) and a digest of the hosts that it lists (8).  Balancers
+that started earlier and list other hosts respond with records of a host (4)
+and a service tag (4), all in network byte order.
 """
 
 import socket
@@ -29,52 +29,52 @@
     'unpack_served',
 )
 
-_QUESTION: Final = struct.Struct('!QQ')
+_REQUEST: Final = struct.Struct('!QQ')
 _ROW: Final = struct.Struct('!4sI')
-#: Rows in one message: 1,200 octets.
+#: Maximum records per message, which has 1,200 octets then.
 MAX_SERVED: Final = 150
 
 
 class ServedHost(NamedTuple):
-    """A host that the sender offers flows of a service, or did lately."""
+    """A host that gets flows of a service from the sender, or did recently."""
 
     host: str
     service_tag: int
 
 
 class ServedQuestion(NamedTuple):
-    """What a balancer that just began says of itself."""
+    """Request of a balancer that just started."""
 
-    #: Revision of its first catalog.
+    #: Revision of the first catalog of the sender.
     first_revision: int
-    #: Digest of the hosts that it lists, with their services.
+    #: Digest of the hosts that the sender lists, with their services.
     digest: int
 
 
 def digest_served(rows: Iterable[ServedHost]) -> int:
-    """Return what tells one list from another, whatever its order."""
+    """Return a digest of the hosts that does not depend on their order."""
     return xxh3_64_intdigest(pack_served(sorted(rows)))
 
 
-def pack_question(question: ServedQuestion) -> bytes:
-    """Return the content of a message."""
-    return _QUESTION.pack(*question)
+def pack_question(request: ServedQuestion) -> bytes:
+    """Encode a request."""
+    return _REQUEST.pack(*request)
 
 
 def unpack_question(content: bytes) -> ServedQuestion:
-    """Return a question; raise MalformedEnvelope."""
-    return ServedQuestion._make(unpack_head(_QUESTION, content))
+    """Decode a request; raise MalformedEnvelope if invalid."""
+    return ServedQuestion._make(unpack_head(_REQUEST, content))
 
 
 def pack_served(rows: Iterable[ServedHost]) -> bytes:
-    """Return the content of a message."""
+    """Encode the served hosts of a response."""
     return b''.join(
         _ROW.pack(socket.inet_aton(row.host), row.service_tag) for row in rows
     )
 
 
 def unpack_served(content: bytes) -> tuple[ServedHost, ...]:
-    """Return the rows of a message; raise MalformedEnvelope."""
+    """Decode served hosts; raise MalformedEnvelope if invalid."""
     if len(content) % _ROW.size or len(content) > MAX_SERVED * _ROW.size:
         raise MalformedEnvelope(len(content))
     return tuple(
--- a/packages/keelgap/src/keelgap/packets/sockets.py
+++ b/packages/keelgap/src/keelgap/packets/sockets.py
@@ -1,4 +1,4 @@
-"""The datagram sockets of a packet program, opened before anything else."""
+"""Datagram sockets of the packet balancer and the packet agent."""
 
 import socket
 from contextlib import ExitStack
@@ -11,11 +11,12 @@
 
 
 class PacketSockets(NamedTuple):
-    """What a process receives from."""
+    """The two sockets from which a process receives."""
 
-    #: Packets of callers in a balancer, of the upstream in an agent.
+    #: Receives packets from callers in a balancer, from the upstream in an
+    #: agent.
     traffic: socket.socket
-    #: Envelopes of other processes.
+    #: Receives envelopes from other processes.
     peers: socket.socket
 
 
@@ -25,9 +26,9 @@
     peer_address: Address,
     stack: ExitStack,
 ) -> PacketSockets:
-    """Bind both; the stack closes them.
+    """Bind both sockets; the stack closes them.
 
-    Raises PortInUse, which names the setting.
+    Raises PortInUse with the name of the setting if a port is taken.
     """
     traffic = parse_address(traffic_address)
     sockets = PacketSockets(
--- a/packages/keelgap/src/keelgap/packets/trials.py
+++ b/packages/keelgap/src/keelgap/packets/trials.py
@@ -1,12 +1,12 @@
-"""What balancers and agents must agree on for ejected upstreams."""
+"""Constants for ejected upstreams that balancers and agents must share."""
 
 from typing import Final
 
 __all__ = ('FORCED_HOP', 'LAST_RESORT_SECONDS')
 
-#: The agent of an ejected upstream takes a new flow that was offered so often:
-#: if most upstreams fail, none is left out.
+#: Hop at which the agent of an ejected upstream must accept a new flow.  If
+#: most upstreams fail, none is excluded.
 FORCED_HOP: Final = 3
 
-#: Any request may be a trial if none that can be repeated came for so long.
+#: Seconds without a repeatable request after which any request may be a trial.
 LAST_RESORT_SECONDS: Final = 3.0
