--- a/packages/keelgap/src/keelgap/runtime/__init__.py
+++ b/packages/keelgap/src/keelgap/runtime/__init__.py
@@ -1,6 +1,6 @@
-"""What a packet-forwarding process runs on: a loop, signals and log lines.
+"""Event loop, signals, log and HTTP for packet-forwarding processes.
 
-It imports little, because on a small share of a core each imported module
-delays the first packet after a restart; docs/topics/platform.md has the
-measurement.
+Imports are kept to a minimum, because with a small share of a core each
+imported module delays the first packet after a restart; see
+docs/topics/platform.md for measurements.
 """
--- a/packages/keelgap/src/keelgap/runtime/http.py
+++ b/packages/keelgap/src/keelgap/runtime/http.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 calls on the loop, one at a time.
+"""Minimal HTTP/1.1 client on the event loop, with one request at a time.
 
-A library was measured first: h11 costs 0.035 processor seconds to import,
-a third of the balancer's start (docs/topics/platform.md).  This reads only
-what the platform's store and other balancers send: a status, headers and a
-body of stated length.  Everything else fails the call.
+No library is used: importing h11 takes 0.035 processor seconds, a third of the
+balancer's startup time (docs/topics/platform.md).  The client supports what the
+platform's store and other balancers send: a status line, headers and a body
+with Content-Length.  Any other response fails the request.
 """
 
 import socket
@@ -25,73 +25,74 @@
 )
 
 HEAD_END: Final = b'\r\n\r\n'
-_CHUNK: Final = 262144
-#: Octets of the longest head of an answer.
-_MAX_HEAD: Final = 16384
-#: Octets of the longest body, unless a caller sets another bound: the catalog
-#: of another balancer has 16 MB at the size to design for.
+_RECEIVE_OCTETS: Final = 262144
+#: Maximum octets of the status line and headers.
+_MAX_HEADER_LENGTH: Final = 16384
+#: Default limit of the body in octets: the catalog of another balancer has
+#: 16 MB at the design size.
 LONGEST_BODY: Final = 16777216
-#: A connection on which nothing comes is probed after so many seconds, and
-#: given up after so many silent probes, so that a waiting call on a path that
-#: was cut fails within 3 s.
+#: TCP keepalive: an idle connection is probed after these seconds and closed
+#: after this number of unanswered probes, so that a pending request fails
+#: within 3 s if the network path is interrupted.
 _PROBE_SECONDS: Final = 1
-_SILENT_PROBES: Final = 2
+_MAX_UNANSWERED_PROBES: Final = 2
 _UNACKNOWLEDGED_MILLISECONDS: Final = 2500
 
 
 class MalformedAnswer(KeelgapError):
-    """Octets that are no answer this client reads."""
+    """The response is invalid or uses an unsupported feature."""
 
     code = 'malformed_answer'
 
 
 class HttpAnswer(NamedTuple):
-    """What came of a call."""
+    """Result of a request."""
 
-    #: Status code, or 0 if no whole answer came.
+    #: Status code, or 0 if there was no complete response.
     status: int
     body: bytes
-    #: Why there is no answer; empty if there is one.
+    #: Reason why there is no response; empty if there is one.
     failure: str = ''
 
 
-class _ParsedAnswer(NamedTuple):
+class _ParsedResponse(NamedTuple):
     answer: HttpAnswer
-    #: Whether the server closes the connection after it.
+    #: Whether the server closes the connection after the response.
     closes: bool
 
 
-OnAnswer = Callable[[HttpAnswer], None]
+OnResponse = Callable[[HttpAnswer], None]
 
 
 def parse_answer(
     received: bytes,
-    longest: int = LONGEST_BODY,
-) -> _ParsedAnswer | None:
-    """Return a whole answer, or None while some of it is missing.
+    max_body_length: int = LONGEST_BODY,
+) -> _ParsedResponse | None:
+    """Parse a response; return None while it is incomplete.
 
-    Raises MalformedAnswer, also where the body is longer than so many octets.
+    Raises MalformedResponse if the response is invalid or its body exceeds
+    ``max_body_length`` octets.
     """
-    head_length = received.find(HEAD_END)
+    header_length = received.find(HEAD_END)
     total = len(received)
-    if head_length < 0:
-        if total > _MAX_HEAD:
+    if header_length < 0:
+        if total > _MAX_HEADER_LENGTH:
             raise MalformedAnswer(total)
         return None
-    lines = received[:head_length].split(b'\r\n')
+    lines = received[:header_length].split(b'\r\n')
     status = _parse_status(lines[0])
     headers = _parse_headers(lines[1:])
     length = headers.get(b'content-length', b'')
-    if not length.isdigit() or int(length) > longest:
+    if not length.isdigit() or int(length) > max_body_length:
         raise MalformedAnswer(length)
-    start = head_length + len(HEAD_END)
+    start = header_length + len(HEAD_END)
     end = start + int(length)
     if total < end:
         return None
     if total > end:
         raise MalformedAnswer(total - end)
     closes = headers.get(b'connection', b'').lower() == b'close'
-    return _ParsedAnswer(HttpAnswer(status, received[start:]), closes)
+    return _ParsedResponse(HttpAnswer(status, received[start:]), closes)
 
 
 def _parse_status(line: bytes) -> int:
@@ -113,7 +114,7 @@
 
 
 class HttpClient:
-    """Calls to one address over a connection that is kept open."""
+    """HTTP client for one address, with a persistent connection."""
 
     def __init__(
         self,
@@ -121,19 +122,19 @@
         address: Address,
         longest_body: int = LONGEST_BODY,
     ) -> None:
-        """Connect only when the first call is made."""
+        """Initialize; the first request opens the connection."""
         self.loop = loop
         self.longest_body = longest_body
         self.address = address
         self.sock: socket.socket | None = None
-        self.on_answer: OnAnswer | None = None
+        self.on_answer: OnResponse | None = None
         self.received = b''
         self.request = b''
-        #: Tells the time-out of this call from those of earlier ones.
+        #: Number of requests; lets the timeouts of earlier ones be ignored.
         self.calls = 0
 
-    def get(self, target: str, timeout: float, on_answer: OnAnswer) -> None:
-        """Call GET; an earlier call that still waits is dropped."""
+    def get(self, target: str, timeout: float, on_answer: OnResponse) -> None:
+        """Send a GET request; a pending one is dropped without a callback."""
         if self.on_answer is not None:
             self.close()
         self.calls += 1
@@ -143,12 +144,12 @@
         self.loop.call_after(timeout, lambda: self._time_out(call))
         if self.sock is None:
             self.sock = self._connect()
-        head = f'GET {target} HTTP/1.1\r\nHost: {self.address}\r\n\r\n'
-        self.request = head.encode('ascii')
+        header = f'GET {target} HTTP/1.1\r\nHost: {self.address}\r\n\r\n'
+        self.request = header.encode('ascii')
         self.loop.add_writer(self.sock, self._write)
 
     def close(self) -> None:
-        """Close the connection; a waiting call is forgotten."""
+        """Close the connection and drop a pending request."""
         self.on_answer = None
         sock = self.sock
         self.sock = None
@@ -159,9 +160,9 @@
     def _connect(self) -> socket.socket:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)  # noqa: WPS425
-        _detect_silence(sock)
+        _enable_keepalive(sock)
         with suppress(OSError):
-            # A refusal shows at the first write.
+            # A refused connection is reported by the first write.
             sock.connect(self.address)
         return sock
 
@@ -185,7 +186,7 @@
         if sock is None:
             return
         try:
-            chunk = sock.recv(_CHUNK)
+            chunk = sock.recv(_RECEIVE_OCTETS)
         except BlockingIOError:
             return
         except OSError as error:
@@ -203,7 +204,7 @@
         if parsed is not None:
             self._finish(parsed)
 
-    def _finish(self, parsed: _ParsedAnswer) -> None:
+    def _finish(self, parsed: _ParsedResponse) -> None:
         on_answer = self.on_answer
         self.on_answer = None
         self.received = b''
@@ -223,12 +224,12 @@
             self._fail('timeout')
 
 
-def _detect_silence(sock: socket.socket) -> None:
+def _enable_keepalive(sock: socket.socket) -> None:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     options = (
         (socket.TCP_KEEPIDLE, _PROBE_SECONDS),
         (socket.TCP_KEEPINTVL, _PROBE_SECONDS),
-        (socket.TCP_KEEPCNT, _SILENT_PROBES),
+        (socket.TCP_KEEPCNT, _MAX_UNANSWERED_PROBES),
         (socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MILLISECONDS),
         (socket.TCP_NODELAY, 1),
     )
--- a/packages/keelgap/src/keelgap/runtime/lines.py
+++ b/packages/keelgap/src/keelgap/runtime/lines.py
@@ -1,9 +1,9 @@
-"""Log lines as JSON on standard output, bounded and never waiting.
+"""Log of JSON lines on standard output, bounded and non-blocking.
 
-Lines queue up to a fixed number and leave in one write when the loop is
-idle.  While a reader is stuck, or in a second with too many decisions, the
-oldest stay and new ones are dropped; a line says how many of which event as
-soon as there is room again.
+Lines are queued up to a limit and written in chunks at each flush.  If the
+reader of the pipe is stalled, or decisions exceed the rate limit, new lines are
+dropped; a line with the dropped counts by event follows as soon as the queue
+has space.
 """
 
 import json
@@ -16,31 +16,31 @@
 
 __all__ = ('MAX_NAMED', 'LogLines', 'Write', 'write_to_standard_output')
 
-#: Lines that may wait; with 300 octets a line that is 600 KB.
+#: Maximum queued lines; 600 KB with 300 octets per line.
 MAX_WAITING: Final = 2000
-#: Lines a second that a process may write for decisions on flows.  One day of
-#: 34 s with 250 requests a second stays below it; a flood does not.
+#: Maximum lines per second for decisions on flows.  A scenario of 34 s
+#: with 250 requests per second stays below this limit; a flood exceeds it.
 LINES_PER_SECOND: Final = 200
-#: Octets handed to the system at once; a pipe takes so many whole or not at
-#: all, so that a line is never cut.
-_CHUNK: Final = 4096
-#: A line about many things at once names so many of them.
+#: Maximum octets per write; writes of up to this size to a pipe are atomic,
+#: so that no line is truncated.
+_MAX_WRITE_OCTETS: Final = 4096
+#: Maximum items listed in a log line that covers many of them.
 MAX_NAMED: Final = 4
-_STANDARD_OUTPUT: Final = 1
+_STDOUT_FD: Final = 1
 
 Write = Callable[[bytes], int]
 
 
 def write_to_standard_output(octets: bytes) -> int:
-    """Write what the pipe takes without waiting; return how much it was."""
+    """Write without blocking; return the number of octets written."""
     try:
-        return os.write(_STANDARD_OUTPUT, octets)
+        return os.write(_STDOUT_FD, octets)
     except BlockingIOError:
         return 0
 
 
 class LogLines:
-    """The log of one process."""
+    """Log of one process."""
 
     def __init__(
         self,
@@ -49,32 +49,32 @@
         clock: Callable[[], float],
         write: Write = write_to_standard_output,
     ) -> None:
-        """Start empty; nothing is written before the first flush."""
+        """Initialize an empty queue; lines are written by ``flush``."""
         self.program = program
         self.instance = instance
         self.clock = clock
         self.write = write
         self.waiting: deque[bytes] = deque()
-        self.rest = b''
-        #: Lines that were dropped since the last flush, by event.
+        self.unwritten = b''
+        #: Number of lines dropped since the last report, by event.
         self.dropped: dict[str, int] = {}
-        self.second = 0
-        self.left = LINES_PER_SECOND
+        self.current_second = 0
+        self.allowance = LINES_PER_SECOND
 
     def decide(self, event: str, **fields: object) -> None:
-        """Log a decision on a flow, within the lines a second allowed."""
-        second = int(self.clock())
-        if second != self.second:
-            self.second = second
-            self.left = LINES_PER_SECOND
-        self.left -= 1
-        if self.left < 0:
+        """Log a decision on a flow, subject to the rate limit."""
+        current_second = int(self.clock())
+        if current_second != self.current_second:
+            self.current_second = current_second
+            self.allowance = LINES_PER_SECOND
+        self.allowance -= 1
+        if self.allowance < 0:
             self._drop(event)
             return
         self.tell(event, **fields)
 
     def tell(self, event: str, **fields: object) -> None:
-        """Log what happens seldom: start, stop, a belief that changed."""
+        """Log a rare event, for example a start, a stop or a state change."""
         if len(self.waiting) >= MAX_WAITING:
             self._drop(event)
             return
@@ -90,7 +90,7 @@
         self.waiting.append(f'{encoded}\n'.encode())
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write queued lines until the pipe is full."""
         if self.dropped and len(self.waiting) < MAX_WAITING:
             dropped = self.dropped
             self.dropped = {}
@@ -99,13 +99,13 @@
                 count=sum(dropped.values()),
                 events=dropped,
             )
-        while self.waiting or self.rest:
-            chunk = self.rest or self._take_chunk()
+        while self.waiting or self.unwritten:
+            chunk = self.unwritten or self._take_chunk()
             written = 0
             with suppress(OSError):
                 written = self.write(chunk)
-            self.rest = chunk[written:]
-            if self.rest:
+            self.unwritten = chunk[written:]
+            if self.unwritten:
                 return
 
     def _drop(self, event: str) -> None:
@@ -114,7 +114,9 @@
     def _take_chunk(self) -> bytes:
         lines = [self.waiting.popleft()]
         length = len(lines[0])
-        while self.waiting and length + len(self.waiting[0]) <= _CHUNK:
+        while (
+            self.waiting and length + len(self.waiting[0]) <= _MAX_WRITE_OCTETS
+        ):
             line = self.waiting.popleft()
             length += len(line)
             lines.append(line)
--- a/packages/keelgap/src/keelgap/runtime/loop.py
+++ b/packages/keelgap/src/keelgap/runtime/loop.py
@@ -1,4 +1,4 @@
-"""A single-threaded loop over sockets, timers and signals."""
+"""Single-threaded event loop for sockets, timers and signals."""
 
 import heapq
 import selectors
@@ -12,14 +12,14 @@
 
 __all__ = ('EventLoop', 'Timer')
 
-#: Octets read at once from the socket that signals write to.
+#: Octets read at once from the wake-up socket for signals.
 _WAKEUP_OCTETS: Final = 64
-#: Longest wait for an event, in seconds; bounds the effect of a lost wake-up.
-_LONGEST_WAIT: Final = 1.0
+#: Maximum wait for an event; bounds the effect of a lost wake-up.
+_MAX_WAIT_SECONDS: Final = 1.0
 
 
 class Timer(NamedTuple):
-    """A call that is due at some time; ordered by time, then by age."""
+    """A scheduled callback; ordered by due time, then by creation."""
 
     due: float
     number: int
@@ -27,9 +27,9 @@
 
 
 class EventLoop:
-    """Call back when sockets are ready, timers are due or signals came.
+    """Call back when sockets are ready, timers are due or signals arrive.
 
-    The clock gives seconds that never go back; tests pass one of their own.
+    The clock returns monotonic seconds; tests inject their own.
     """
 
     def __init__(
@@ -37,12 +37,12 @@
         stack: ExitStack,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Open the selector; the stack closes it."""
+        """Create the selector; the stack closes it."""
         self.clock = clock
         self.selector = selectors.DefaultSelector()
         stack.callback(self.selector.close)
         self.timers: list[Timer] = []
-        self.numbers = count()
+        self.sequence = count()
         self.stopped = False
         self.signal_handlers: dict[int, Callable[[], None]] = {}
 
@@ -51,7 +51,7 @@
         sock: socket.socket,
         callback: Callable[[], None],
     ) -> None:
-        """Call back whenever the socket can be read."""
+        """Call back whenever the socket is readable, and not when writable."""
         self._register(sock, selectors.EVENT_READ, callback)
 
     def add_writer(
@@ -59,21 +59,21 @@
         sock: socket.socket,
         callback: Callable[[], None],
     ) -> None:
-        """Call back whenever the socket can be written, and only then."""
+        """Call back whenever the socket is writable, and not when readable."""
         self._register(sock, selectors.EVENT_WRITE, callback)
 
     def remove(self, sock: socket.socket) -> None:
-        """Watch a socket no longer; does nothing if it was not watched."""
+        """Stop watching a socket; do nothing if it is not watched."""
         with suppress(KeyError, ValueError):
             self.selector.unregister(sock)
 
     def call_after(self, delay: float, callback: Callable[[], None]) -> None:
-        """Call back once, after some seconds."""
+        """Call back once, after a delay in seconds."""
         due = self.clock() + delay
-        heapq.heappush(self.timers, Timer(due, next(self.numbers), callback))
+        heapq.heappush(self.timers, Timer(due, next(self.sequence), callback))
 
     def call_every(self, period: float, callback: Callable[[], None]) -> None:
-        """Call back with a period in seconds, from one period on."""
+        """Call back each period, in seconds, starting after one period."""
 
         def fire() -> None:
             self.call_after(period, fire)
@@ -86,7 +86,7 @@
         handlers: dict[int, Callable[[], None]],
         stack: ExitStack,
     ) -> None:
-        """Run a handler in the loop after its signal arrived."""
+        """Run handlers of signals in the event loop."""
         receiver, sender = socket.socketpair()
         stack.callback(receiver.close)
         stack.callback(sender.close)
@@ -96,29 +96,29 @@
         stack.callback(signal.set_wakeup_fd, -1)
         self.signal_handlers = handlers
         for number in handlers:
-            signal.signal(number, _leave_to_loop)
-        self.add_reader(receiver, lambda: self._take_signals(receiver))
+            signal.signal(number, _ignore_signal)
+        self.add_reader(receiver, lambda: self._dispatch_signals(receiver))
 
     def run(self) -> None:
-        """Serve until stop is called."""
+        """Run until ``stop`` is called."""
         while not self.stopped:
             self.run_once()
 
     def stop(self) -> None:
-        """Return from run after the present round."""
+        """Make ``run`` return after the current iteration."""
         self.stopped = True
 
     def run_once(self) -> None:
-        """Wait for the next events and timers, and call back."""
+        """Wait for the next events or timers and run their callbacks."""
         for key, _ in self.selector.select(self._compute_wait()):
             key.data()
         self._run_timers()
 
     def _compute_wait(self) -> float:
         if not self.timers:
-            return _LONGEST_WAIT
+            return _MAX_WAIT_SECONDS
         wait = self.timers[0].due - self.clock()
-        return min(max(wait, 0), _LONGEST_WAIT)
+        return min(max(wait, 0), _MAX_WAIT_SECONDS)
 
     def _run_timers(self) -> None:
         now = self.clock()
@@ -136,7 +136,7 @@
         else:
             self.selector.register(sock, events, callback)
 
-    def _take_signals(self, receiver: socket.socket) -> None:
+    def _dispatch_signals(self, receiver: socket.socket) -> None:
         with suppress(BlockingIOError):
             for number in receiver.recv(_WAKEUP_OCTETS):
                 handler = self.signal_handlers.get(number)
@@ -144,5 +144,5 @@
                     handler()
 
 
-def _leave_to_loop(number: int, frame: object) -> None:
-    """Do nothing: the wake-up descriptor tells the loop of the signal."""
+def _ignore_signal(number: int, frame: object) -> None:
+    """Do nothing: the loop reads the signal from the wake-up descriptor."""
--- a/packages/keelgap/src/keelgap/runtime/pages.py
+++ b/packages/keelgap/src/keelgap/runtime/pages.py
@@ -1,7 +1,7 @@
-"""Small local pages over HTTP: readiness, what is in force, metrics.
+"""Minimal HTTP server for readiness, state and metrics pages.
 
-As in ``keelgap.runtime.http``, no library is imported for it, because the
-routers' first question must be answered right after a start.
+As in ``keelgap.runtime.http``, no library is imported, because the routers'
+first readiness check must be answered right after a start.
 """
 
 import socket
@@ -16,42 +16,45 @@
 
 __all__ = ('Page', 'Pages', 'make_ready_page', 'serve_pages')
 
-#: Connections that may wait to be accepted.
+#: Maximum connections waiting to be accepted.
 _BACKLOG: Final = 64
-_CHUNK: Final = 16384
-#: Longest head of a call; a connection that sends more is closed.
-_MAX_HEAD: Final = 16384
-#: Connections kept at once; the routers and a scraper need a few.
+_RECEIVE_OCTETS: Final = 16384
+#: Maximum octets of unprocessed input; a connection that exceeds this is
+#: closed.
+_MAX_HEADER_LENGTH: Final = 16384
+#: Maximum open connections; the routers and a metrics scraper need a few.
 _MAX_CONNECTIONS: Final = 256
 
 
 class Page(NamedTuple):
-    """What a local page answers."""
+    """Response of a page."""
 
     status: int
     content_type: str
     body: bytes
 
 
-#: Makers of pages by their path; each takes the call's query.
+#: Page handlers by path; each is called with the query string.
 Pages = dict[str, Callable[[str], Page]]
 
-#: Status codes; the standard module of them costs 2 ms to import.
+#: Status codes; importing ``http.HTTPStatus`` takes 2 ms.
 _OK: Final = 200
 _NOT_FOUND: Final = 404
-_NO_SUCH_METHOD: Final = 405
+_METHOD_NOT_ALLOWED: Final = 405
 _UNAVAILABLE: Final = 503
 _PLAIN: Final = 'text/plain'
 
-_NO_PAGE: Final = Page(_NOT_FOUND, _PLAIN, b'not found\n')
-_NO_METHOD: Final = Page(_NO_SUCH_METHOD, _PLAIN, b'only GET\n')
-_READY: Final = Page(_OK, _PLAIN, b'ready\n')
-_NOT_READY: Final = Page(_UNAVAILABLE, _PLAIN, b'not ready\n')
+_NOT_FOUND_PAGE: Final = Page(_NOT_FOUND, _PLAIN, b'not found\n')
+_METHOD_NOT_ALLOWED_PAGE: Final = Page(
+    _METHOD_NOT_ALLOWED, _PLAIN, b'only GET\n'
+)
+_READY_PAGE: Final = Page(_OK, _PLAIN, b'ready\n')
+_NOT_READY_PAGE: Final = Page(_UNAVAILABLE, _PLAIN, b'not ready\n')
 
 
 def make_ready_page(is_ready: bool) -> Page:  # noqa: FBT001
-    """Return what readiness checks of routers expect."""
-    return _READY if is_ready else _NOT_READY
+    """Return the page for the readiness checks of routers."""
+    return _READY_PAGE if is_ready else _NOT_READY_PAGE
 
 
 def serve_pages(
@@ -60,7 +63,7 @@
     pages: Pages,
     stack: ExitStack,
 ) -> None:
-    """Answer GET calls for some paths; the stack closes all connections."""
+    """Serve GET requests for the pages; the stack closes all connections."""
     listener = _listen(address)
     stack.callback(listener.close)
     connections: set[_Connection] = set()
@@ -99,7 +102,7 @@
 
 
 class _Connection:
-    """Answers one call after the other until the reader goes."""
+    """Responds to requests in order until the client disconnects."""
 
     def __init__(
         self,
@@ -116,35 +119,35 @@
         self.unsent = b''
 
     def start(self) -> None:
-        """Wait for the first call."""
+        """Wait for the first request."""
         self.loop.add_reader(self.sock, self._read)
 
     def _read(self) -> None:
         try:
-            chunk = self.sock.recv(_CHUNK)
+            chunk = self.sock.recv(_RECEIVE_OCTETS)
         except BlockingIOError:
             return
         except OSError:
             chunk = b''
         self.received += chunk
-        if not chunk or len(self.received) > _MAX_HEAD:
+        if not chunk or len(self.received) > _MAX_HEADER_LENGTH:
             self._close()
             return
         while HEAD_END in self.received:
-            head, _, rest = self.received.partition(HEAD_END)
+            header, _, rest = self.received.partition(HEAD_END)
             self.received = rest
-            self.unsent += _render(self._choose_page(head))
+            self.unsent += _render(self._choose_page(header))
         if self.unsent:
             self._write()
 
-    def _choose_page(self, head: bytes) -> Page:
-        words = head.split(b'\r\n', 1)[0].split()
+    def _choose_page(self, header: bytes) -> Page:
+        words = header.split(b'\r\n', 1)[0].split()
         if words[:1] != [b'GET'] or len(words) < 2:
-            return _NO_METHOD
+            return _METHOD_NOT_ALLOWED_PAGE
         target = words[1].decode('ascii', 'replace')
         path, _, query = target.partition('?')
         make_page = self.pages.get(path)
-        return _NO_PAGE if make_page is None else make_page(query)
+        return _NOT_FOUND_PAGE if make_page is None else make_page(query)
 
     def _write(self) -> None:
         try:
@@ -167,9 +170,9 @@
 
 
 def _render(page: Page) -> bytes:
-    head = (
+    header = (
         f'HTTP/1.1 {page.status} -\r\n'
         f'Content-Type: {page.content_type}\r\n'
         f'Content-Length: {len(page.body)}\r\n\r\n'
     )
-    return head.encode('ascii') + page.body
+    return header.encode('ascii') + page.body
