--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip.py
@@ -1,12 +1,15 @@
-"""What balancers tell each other: whom they know, and what they hold.
-
-A message has revision (8 octets), flags (1) whether its sender reads the store
-and wants an answer, its sender's incarnation (4), the numbers of balancers it
-names (1), of changes (1) and of places (1), all in network order; then the
-named hosts (4 octets each), changes of beliefs: host (4), incarnation (4) and
-status (1); places: host (4), version (4), tag of the availability zone (4) and
-megabits a second (4); then claims of readers: host (4) and age in milliseconds
-(2).
+"""Encoding of the gossip messages between balancers.
+
+A message begins with the catalog revision of its sender (8 octets), two flags
+(1 octet each) whether the sender reads the store and whether it wants a reply,
+the sender's incarnation (4), and the numbers of peers (1), of changes (1) and
+of balancer infos (1), all in network order.  Then follow
+
+- the hosts of the peers (4 octets each),
+- the changes of status: host (4), incarnation (4) and status (1),
+- the balancer infos: host (4), version (4), tag of the availability zone (4)
+  and link bandwidth in Mbit/s (4),
+- the claims of readers, up to the end: host (4) and age in milliseconds (2).
 """
 
 import socket
@@ -28,37 +31,37 @@
 
 _HEAD: Final = struct.Struct('!Q??IBBB')
 _CHANGE: Final = struct.Struct('!4sIB')
-_PLACE: Final = struct.Struct('!4sIII')
+_BALANCER_INFO: Final = struct.Struct('!4sIII')
 _CLAIM: Final = struct.Struct('!4sH')
 _HOST_LENGTH: Final = 4
 _MILLISECONDS: Final = 1000
-_OLDEST: Final = 65535
+_MAX_AGE: Final = 65535
 
 
 class MalformedGossip(KeelgapError):
-    """A message between balancers that cannot be read."""
+    """A gossip message that cannot be decoded."""
 
     code = 'malformed_gossip'
 
 
 class Gossip(NamedTuple):
-    """What one balancer tells another."""
+    """A message from one balancer to another."""
 
-    #: Revision of the store up to which the sender holds everything.
+    #: Revision of the store up to which the sender's catalog is complete.
     revision: int
-    #: Whether the sender reads the store, and is answered.
+    #: Whether the sender reads the store, and the store answers it.
     reads: bool
-    #: Hosts of other balancers that the sender heard lately.
+    #: Hosts from which the sender received messages most recently.
     peers: tuple[str, ...]
     #: Other balancers that read the store, as far as the sender knows.
     claims: tuple[ReaderClaim, ...]
     #: Incarnation of the sender.
     incarnation: int = 0
-    #: Whether the sender wants an answer, to know that the receiver lives.
+    #: Whether the sender wants a reply, as a sign that the receiver is alive.
     asks: bool = False
-    #: Beliefs about balancers that changed lately.
+    #: Recent changes of status of balancers.
     changes: tuple[Change, ...] = ()
-    #: Where the sender is, and balancers of which it heard lately.
+    #: Info about the sender, and about other balancers that it relays.
     places: tuple[Place, ...] = ()
 
 
@@ -81,13 +84,13 @@
         for change in gossip.changes
     ]
     places = [
-        _PLACE.pack(socket.inet_aton(place.host), *place[1:])
+        _BALANCER_INFO.pack(socket.inet_aton(place.host), *place[1:])
         for place in gossip.places
     ]
     claims = [
         _CLAIM.pack(
             socket.inet_aton(claim.host),
-            min(int(claim.age * _MILLISECONDS), _OLDEST),
+            min(int(claim.age * _MILLISECONDS), _MAX_AGE),
         )
         for claim in gossip.claims
     ]
@@ -95,38 +98,40 @@
 
 
 def decode_gossip(content: bytes) -> Gossip:
-    """Return a message; raise MalformedGossip."""
+    """Return the message in some octets; raise MalformedGossip."""
     try:
         head = _HEAD.unpack_from(content)
     except struct.error as error:
         raise MalformedGossip(len(content)) from error
     revision, reads, asks, incarnation, *counts = head
-    named, changed, placed, rest = _split_parts(content, counts)
+    host_octets, change_octets, info_octets, claim_octets = _split_parts(
+        content, counts
+    )
     return Gossip(
         revision,
         reads,
-        tuple(_iterate_hosts(named)),
-        tuple(_iterate_claims(rest)),
+        tuple(_iterate_hosts(host_octets)),
+        tuple(_iterate_claims(claim_octets)),
         incarnation,
         asks,
-        tuple(_iterate_changes(changed)),
-        tuple(_iterate_places(placed)),
+        tuple(_iterate_changes(change_octets)),
+        tuple(_iterate_infos(info_octets)),
     )
 
 
 def _split_parts(content: bytes, counts: list[int]) -> list[bytes]:
-    """Return the octets of hosts, changes, places and claims."""
-    sizes = (_HOST_LENGTH, _CHANGE.size, _PLACE.size)
+    """Return the octets of hosts, changes, infos and claims."""
+    sizes = (_HOST_LENGTH, _CHANGE.size, _BALANCER_INFO.size)
     parts = []
     rest = content[_HEAD.size :]
     for count, size in zip(counts, sizes, strict=True):
-        part, rest = _cut(rest, count * size)
+        part, rest = _split_at(rest, count * size)
         parts.append(part)
     return [*parts, rest]
 
 
-def _cut(octets: bytes, length: int) -> tuple[bytes, bytes]:
-    """Return the first octets and the others; raise MalformedGossip."""
+def _split_at(octets: bytes, length: int) -> tuple[bytes, bytes]:
+    """Return the first octets and the rest; raise MalformedGossip."""
     if length > len(octets):
         raise MalformedGossip(len(octets))
     return octets[:length], octets[length:]
@@ -142,14 +147,14 @@
 def _iterate_changes(octets: bytes) -> Iterator[Change]:
     for host, incarnation, status in _CHANGE.iter_unpack(octets):
         try:
-            known = Status(status)
+            change_status = Status(status)
         except ValueError as error:
             raise MalformedGossip(status) from error
-        yield Change(socket.inet_ntoa(host), incarnation, known)
+        yield Change(socket.inet_ntoa(host), incarnation, change_status)
 
 
-def _iterate_places(octets: bytes) -> Iterator[Place]:
-    for host, *rest in _PLACE.iter_unpack(octets):
+def _iterate_infos(octets: bytes) -> Iterator[Place]:
+    for host, *rest in _BALANCER_INFO.iter_unpack(octets):
         yield Place(socket.inet_ntoa(host), *rest)
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
@@ -1,4 +1,4 @@
-"""Tell other balancers what this one holds, and take what they tell."""
+"""Exchange of gossip messages with the other balancers."""
 
 import socket
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 class GossipDriver:
-    """Messages between balancers; their catalogs are read over HTTP."""
+    """Sends and receives gossip; catalogs themselves are read over HTTP."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         make_stamp: Callable[[], Stamp],
         control_port: int,
     ) -> None:
-        """Name the port on which balancers serve their catalogs."""
+        """Take the port on which all balancers serve their catalogs."""
         self.process = process
         self.peers = peers
         self.places = places
@@ -49,34 +49,35 @@
         self.catalog = catalog
         self.make_stamp = make_stamp
         self.control_port = control_port
-        #: Balancers that are new since the last line about them.
+        #: Balancers found since the last log line about them.
         self.found: set[str] = set()
         self.sock: socket.socket
         self.peer_port = 0
 
     def start(self, sock: socket.socket, peer_port: int) -> None:
-        """Tell others from time to time."""
+        """Begin to send messages at regular intervals."""
         self.sock = sock
         self.peer_port = peer_port
-        self.process.loop.call_every(defaults.GOSSIP_SECONDS, self._fire)
-        self.tell()
+        self.process.loop.call_every(defaults.GOSSIP_SECONDS, self._run_round)
+        self.send_gossip()
 
-    def tell(self, *, is_round: bool = False) -> None:
-        """Tell those whose turn it is; in each round, ask who owes answers."""
-        # Also one that lost the store: the others must not count on it.
+    def send_gossip(self, *, is_round: bool = False) -> None:
+        """Send a message to the next receivers; in a round, also probe them."""
+        # A reader that lost the store sends to as many: the others must learn
+        # that they cannot rely on it.
         is_reader = self.readers.is_reader
         now = self.process.loop.clock()
         receivers = self.peers.list_receivers(
             is_reader=is_reader,
             is_round=is_round,
         )
-        for place, host in enumerate(receivers):
-            is_next = is_round and self.peers.is_asked(host, place)
-            asks = is_next and self.peers.probe(host, now)
-            self._tell_peer(host, asks=asks)
+        for position, host in enumerate(receivers):
+            may_probe = is_round and self.peers.is_asked(host, position)
+            asks = may_probe and self.peers.probe(host, now)
+            self._send_to_peer(host, asks=asks)
 
-    def tell_all(self, effect: TellBalancers) -> None:
-        """Send a message that reducers exchange to the other balancers."""
+    def broadcast(self, effect: TellBalancers) -> None:
+        """Send an envelope with other contents to the other balancers."""
         envelope = Envelope(
             effect.kind,
             hop=0,
@@ -90,50 +91,50 @@
         for host in tuple(self.peers.heard)[: defaults.MAX_REFUSED_TOLD]:
             send_datagram(self.sock, datagram, (host, self.peer_port))
 
-    def take(self, envelope: Envelope, host: str) -> None:
-        """Take a message of another balancer."""
+    def handle_message(self, envelope: Envelope, host: str) -> None:
+        """Handle a gossip message from another balancer."""
         try:
             gossip = decode_gossip(envelope.content)
         except MalformedGossip as error:
             self.process.counters.count(error.code)
             return
         now = self.process.loop.clock()
-        self._note_readers(host, gossip, now)
+        self._record_claims(host, gossip, now)
         self.places.take(gossip.places)
         found = self.peers.take(gossip.changes, now)
         if self.peers.note(host, gossip.incarnation, gossip.peers, now):
             found = (*found, host)
-            self._tell_peer(host)
+            self._send_to_peer(host)
         elif gossip.asks:
-            self._tell_peer(host)
+            self._send_to_peer(host)
         self.found.update(found)
         peer = Address(host, self.control_port)
         self.catalog.note_peer(peer, gossip.revision)
 
     @property
-    def _reads(self) -> bool:
+    def _is_active_reader(self) -> bool:
         return self.readers.is_reader and self.catalog.is_answered
 
-    def _fire(self) -> None:
+    def _run_round(self) -> None:
         now = self.process.loop.clock()
         lost = self.peers.tick(now)
         self.places.forget(lost)
-        self._tell_changes(lost)
-        self._decide_reading(now)
-        self.tell(is_round=True)
+        self._log_changes(lost)
+        self._update_reader_role(now)
+        self.send_gossip(is_round=True)
 
-    def _decide_reading(self, now: float) -> None:
-        before = self.readers.is_reader
+    def _update_reader_role(self, now: float) -> None:
+        was_reader = self.readers.is_reader
         reads = self.readers.decide(now, self.peers.heard)
         self.catalog.decide_reading(reads, len(self.peers.heard) + 1)
-        if reads != before:
+        if reads != was_reader:
             self.process.lines.tell(
                 'reading_store' if reads else 'following_readers',
                 other_readers=self.readers.list_fresh(now),
                 revision=self.catalog.state.revision,
             )
 
-    def _note_readers(self, host: str, gossip: Gossip, now: float) -> None:
+    def _record_claims(self, host: str, gossip: Gossip, now: float) -> None:
         for claim in gossip.claims:
             self.readers.note_claim(claim, now)
         if gossip.reads:
@@ -141,8 +142,8 @@
         else:
             self.readers.note_refusal(host, now)
 
-    def _tell_changes(self, lost: tuple[str, ...]) -> None:
-        """Log one line, however many balancers came or went."""
+    def _log_changes(self, lost: tuple[str, ...]) -> None:
+        """Log the balancers found and lost, on one line."""
         if self.found or lost:
             self.process.lines.tell(
                 'balancers_changed',
@@ -154,11 +155,11 @@
             )
             self.found.clear()
 
-    def _tell_peer(self, host: str, *, asks: bool = False) -> None:
-        follower = self.catalog.state
+    def _send_to_peer(self, host: str, *, asks: bool = False) -> None:
+        catalog_state = self.catalog.state
         gossip = Gossip(
-            follower.revision if follower.complete else 0,
-            self._reads,
+            catalog_state.revision if catalog_state.complete else 0,
+            self._is_active_reader,
             self.peers.list_latest(),
             self.readers.make_claims(self.process.loop.clock()),
             self.peers.incarnation,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/peers.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/peers.py
@@ -1,14 +1,16 @@
-"""Which other balancers live.
-
-In a small fleet each tells all others twice a second, and one that was silent
-for long is gone.  In a larger one nobody hears most others for a long time.
-There a balancer asks one other at a time for an answer, round and round, and
-suspects one that owes it.  The suspicion spreads with the messages that are
-sent anyway; who hears of its own counters it with a higher incarnation.  Only
-one that does not is taken for lost.  This is SWIM (Das, Gupta and Motivala,
-2002) with suspicion and incarnations.  Its indirect probes are left out:
-several others hear of a suspicion, and tell the suspect, long before it
-lapses.
+"""Failure detection among balancers.
+
+In a small fleet each balancer sends messages to all others twice a second,
+and one that is silent for too long is removed.  In a larger fleet most pairs
+of balancers exchange no messages for a long time.  There a balancer probes
+the others one at a time, in turn, and suspects one that does not reply in
+time.  The suspicion is piggybacked on the regular messages, and the suspect
+refutes it with a higher incarnation as soon as it learns of it.  A balancer
+that does not is removed as lost.
+
+This is SWIM (Das, Gupta and Motivala, 2002) with suspicion and incarnations.
+The indirect probes of SWIM are left out: several balancers learn of a
+suspicion, and pass it to the suspect, long before it times out.
 """
 
 from collections.abc import Iterable
@@ -21,7 +23,7 @@
 
 
 class Status(IntEnum):
-    """What is believed of another balancer."""
+    """State of another balancer as seen by its peers."""
 
     ALIVE = 0
     SUSPECTED = 1
@@ -29,30 +31,31 @@
 
 
 class Change(NamedTuple):
-    """A belief about a balancer, as it is passed on."""
+    """A change of a balancer's status, as it is disseminated."""
 
     host: str
-    #: Counts how often the balancer countered a suspicion; the higher wins.
+    #: Increased by the balancer whenever it refutes a suspicion; of two
+    #: changes the one with the higher incarnation is valid.
     incarnation: int
     status: Status
 
 
-class _News:
-    """A change that is to be passed on some times."""
+class _Update:
+    """A change that is still to be sent a number of times."""
 
-    __slots__ = ('change', 'left')
+    __slots__ = ('change', 'remaining_sends')
 
-    def __init__(self, change: Change, left: int) -> None:
+    def __init__(self, change: Change, remaining_sends: int) -> None:
         self.change = change
-        self.left = left
+        self.remaining_sends = remaining_sends
 
 
-#: A host of which nothing was heard.
+#: Incarnation of a host of which none is known.
 _UNKNOWN: Final = -1
 
 
 class Peers:
-    """The other balancers that this one knows."""
+    """The other balancers that this balancer knows."""
 
     def __init__(
         self,
@@ -60,43 +63,44 @@
         seeds: Iterable[str],
         incarnation: int = 0,
     ) -> None:
-        """Know the seeds, which may be stale."""
+        """Start with the seeds, some of which may be gone."""
         self.own = own
         self.incarnation = incarnation
         self.seeds: tuple[str, ...] = ()
         self.change_seeds(seeds)
-        #: Those that live, and when each was last heard or told to live.
+        #: Balancers that are alive, and when the latest message came from each
+        #: or another balancer reported it alive.
         self.heard: dict[str, float] = {}
-        #: Latest incarnation that is known of each.
+        #: Latest known incarnation of each balancer.
         self.incarnations: dict[str, int] = {}
-        #: Hosts that others named and that were not heard yet.
-        self.named: set[str] = set()
-        #: Those that owe an answer, and since when.
+        #: Hosts that other balancers mentioned and that sent no message yet.
+        self.unconfirmed: set[str] = set()
+        #: Balancers with an unanswered probe, and when it was first sent.
         self.probed: dict[str, float] = {}
-        #: Those that did not answer, and since when this is known.
+        #: Balancers under suspicion, and since when.
         self.suspected: dict[str, float] = {}
-        #: What to pass on, by host.
-        self.news: dict[str, _News] = {}
-        #: Place of the first receiver of the last round.
-        self.turn = 0
-        self.ticked_at = float('-inf')
-        #: Since when there are few enough to hear all directly.
-        self.small_since = float('-inf')
+        #: Changes still to be disseminated, by host.
+        self.news: dict[str, _Update] = {}
+        #: Index of the first receiver of the last round.
+        self.first_receiver = 0
+        self.last_tick_at = float('-inf')
+        #: Since when the fleet is small enough for all to send to all.
+        self.small_fleet_since = float('-inf')
 
     @property
-    def is_small(self) -> bool:
-        """Return whether each balancer tells all others."""
+    def is_small_fleet(self) -> bool:
+        """Return whether each balancer sends to all others."""
         return len(self.heard) <= defaults.MAX_GOSSIP_PEERS
 
     def change_seeds(self, seeds: Iterable[str]) -> None:
-        """Know other seeds."""
+        """Replace the seeds."""
         self.seeds = tuple(host for host in seeds if host != self.own)
 
     def note(
         self,
         host: str,
         incarnation: int,
-        named: Iterable[str],
+        mentioned: Iterable[str],
         now: float,
     ) -> bool:
         """Record a message; return whether its sender is new or back."""
@@ -106,45 +110,54 @@
         was_suspected = self.suspected.pop(host, None) is not None
         known = self.incarnations.get(host, _UNKNOWN)
         if incarnation > known:
-            self._learn(Change(host, incarnation, Status.ALIVE))
+            self._record_change(Change(host, incarnation, Status.ALIVE))
         elif is_new or was_suspected:
-            # It must counter what others still believe.
-            self._learn(Change(host, known, Status.SUSPECTED))
-        self.named.update(other for other in named if other != self.own)
-        self.named -= self.heard.keys()
+            # Send the suspicion to it, so that it refutes what other balancers
+            # may still believe.
+            self._record_change(Change(host, known, Status.SUSPECTED))
+        self.unconfirmed.update(
+            other for other in mentioned if other != self.own
+        )
+        self.unconfirmed -= self.heard.keys()
         return is_new
 
     def take(self, changes: Iterable[Change], now: float) -> tuple[str, ...]:
-        """Take what others believe; return the hosts that are new here."""
-        found = [one for one in changes if self._take_change(one, now)]
+        """Apply changes from a peer; return the hosts that are new here."""
+        found = [one for one in changes if self._merge_change(one, now)]
         return tuple(one.host for one in found)
 
     def tick(self, now: float) -> tuple[str, ...]:
-        """Suspect and forget; return the hosts that are lost now."""
-        if now - self.ticked_at > defaults.PAUSED_SECONDS:
-            # Answers came while this process did not run.
+        """Apply the timeouts; return the hosts that are lost now."""
+        if now - self.last_tick_at > defaults.PAUSED_SECONDS:
+            # This process was paused; replies may have arrived meanwhile.
             self.probed.clear()
             self.suspected = dict.fromkeys(self.suspected, now)
-        self.ticked_at = now
-        if not self.is_small:
-            self.small_since = now
-        for debtor, since in tuple(self.probed.items()):
+        self.last_tick_at = now
+        if not self.is_small_fleet:
+            self.small_fleet_since = now
+        for probed_host, since in tuple(self.probed.items()):
             if now - since >= defaults.ANSWER_SECONDS:
-                self._suspect(debtor, now)
+                self._suspect(probed_host, now)
         lost = tuple(host for host in self.heard if self._is_lost(host, now))
-        for gone in lost:
-            change = Change(gone, self.incarnations[gone], Status.LOST)
-            self._remove(gone)
-            self._learn(change)
+        for lost_host in lost:
+            change = Change(
+                lost_host, self.incarnations[lost_host], Status.LOST
+            )
+            self._remove(lost_host)
+            self._record_change(change)
         return lost
 
-    def is_asked(self, host: str, place: int) -> bool:
-        """Return whether a receiver is asked: the first, and who owes."""
-        return not place or host in self.probed or host in self.suspected
+    def is_asked(self, host: str, position: int) -> bool:
+        """Return whether to probe a receiver.
+
+        That is the first one of a round, and any that owes a reply or is
+        suspected.
+        """
+        return not position or host in self.probed or host in self.suspected
 
     def probe(self, host: str, now: float) -> bool:
-        """Return whether to ask a host for an answer; it owes one then."""
-        if self.is_small or host not in self.heard:
+        """Expect a reply from a host; return whether to ask it for one."""
+        if self.is_small_fleet or host not in self.heard:
             return False
         if host not in self.suspected:
             self.probed.setdefault(host, now)
@@ -156,49 +169,57 @@
         is_reader: bool,
         is_round: bool = False,
     ) -> list[str]:
-        """Return whom to tell now: all, or by turns if there are many.
+        """Return the receivers of a message: all, or a few in turn if many.
 
-        Those that owe an answer are told again, and those under suspicion.
+        Balancers that owe a reply are included each time, as are those under
+        suspicion.
         """
-        hosts = list(dict.fromkeys((*self.heard, *self.named, *self.seeds)))
-        self.named = set()
-        most = defaults.MAX_GOSSIP_PEERS
-        at_once = defaults.GOSSIP_AT_ONCE
+        hosts = list(
+            dict.fromkeys((*self.heard, *self.unconfirmed, *self.seeds))
+        )
+        self.unconfirmed = set()
+        max_receivers = defaults.MAX_GOSSIP_PEERS
+        fanout = defaults.GOSSIP_AT_ONCE
         if is_round:
-            # The answer to a question is a message, too.
-            at_once = defaults.PROBES_AT_ONCE
+            # Each probe also causes a reply.
+            fanout = defaults.PROBES_AT_ONCE
         if is_reader:
-            # The others must know whom they follow.
-            most = defaults.READER_GOSSIP_PEERS
-            at_once = most
-        if len(hosts) <= most:
+            # The others must know which balancers read the store.
+            max_receivers = defaults.READER_GOSSIP_PEERS
+            fanout = max_receivers
+        if len(hosts) <= max_receivers:
             return hosts
-        # Others hear of us in the next rounds.
-        self.turn = (self.turn + at_once) % len(hosts)
-        chosen = (hosts * 2)[self.turn : self.turn + at_once]
+        # The other hosts follow in the next rounds.
+        self.first_receiver = (self.first_receiver + fanout) % len(hosts)
+        chosen = (hosts * 2)[self.first_receiver : self.first_receiver + fanout]
         waiting = (*self.probed, *self.suspected)[: defaults.GOSSIP_AT_ONCE]
         return list(dict.fromkeys((*chosen, *waiting)))
 
     def list_latest(self) -> tuple[str, ...]:
-        """Return the balancers to name to others: those heard last."""
+        """Return the balancers to mention to peers, the latest heard first."""
         latest = sorted(self.heard, key=self.heard.__getitem__, reverse=True)
         return tuple(latest[: defaults.MAX_GOSSIP_PEERS])
 
     def take_news(self) -> tuple[Change, ...]:
-        """Return the changes to pass on with one message, the newest first."""
-        ranked = sorted(self.news.values(), key=_get_left, reverse=True)
+        """Return the changes to send with one message.
+
+        Those with the most sends remaining come first.
+        """
+        ranked = sorted(
+            self.news.values(), key=_get_remaining_sends, reverse=True
+        )
         changes = []
-        for news in ranked[: defaults.MAX_CHANGES]:
-            changes.append(news.change)
-            news.left -= 1
-            if not news.left:
-                self.news.pop(news.change.host)
+        for update in ranked[: defaults.MAX_CHANGES]:
+            changes.append(update.change)
+            update.remaining_sends -= 1
+            if not update.remaining_sends:
+                self.news.pop(update.change.host)
         return tuple(changes)
 
-    def _take_change(self, change: Change, now: float) -> bool:
+    def _merge_change(self, change: Change, now: float) -> bool:
         host = change.host
         if host == self.own:
-            self._counter(change)
+            self._refute(change)
             return False
         is_known = host in self.heard
         known = self.incarnations.get(host, _UNKNOWN)
@@ -207,49 +228,51 @@
                 return False
             self.heard[host] = now
             self.suspected.pop(host, None)
-            self._learn(change)
+            self._record_change(change)
             return not is_known
         if not is_known or change.incarnation < known:
             return False
         if change.status == Status.LOST:
             self._remove(host)
-            self._learn(change)
+            self._record_change(change)
         elif host not in self.suspected:
             self.suspected[host] = now
-            self._learn(change)
+            self._record_change(change)
         return False
 
-    def _counter(self, change: Change) -> None:
-        """Let others know that this balancer lives."""
+    def _refute(self, change: Change) -> None:
+        """Refute a report that this balancer is suspected or lost."""
         is_wrong = change.status != Status.ALIVE
         if is_wrong and change.incarnation >= self.incarnation:
             self.incarnation = change.incarnation + 1
-            self._learn(Change(self.own, self.incarnation, Status.ALIVE))
+            self._record_change(
+                Change(self.own, self.incarnation, Status.ALIVE)
+            )
 
     def _suspect(self, host: str, now: float) -> None:
         self.probed.pop(host)
         if host in self.heard and host not in self.suspected:
             self.suspected[host] = now
             incarnation = self.incarnations[host]
-            self._learn(Change(host, incarnation, Status.SUSPECTED))
+            self._record_change(Change(host, incarnation, Status.SUSPECTED))
 
     def _is_lost(self, host: str, now: float) -> bool:
         since = self.suspected.get(host)
         if since is not None:
             return now - since >= defaults.SUSPECT_SECONDS
-        heard_at = max(self.heard[host], self.small_since)
+        heard_at = max(self.heard[host], self.small_fleet_since)
         return now - heard_at > defaults.PEER_SECONDS
 
     def _remove(self, host: str) -> None:
         for table in (self.heard, self.probed, self.suspected):
             table.pop(host, None)
 
-    def _learn(self, change: Change) -> None:
-        """Believe a change, and pass it on some times."""
+    def _record_change(self, change: Change) -> None:
+        """Record the incarnation of a change, and disseminate the change."""
         self.incarnations[change.host] = change.incarnation
         rounds = (len(self.heard) + 1).bit_length()
-        self.news[change.host] = _News(change, rounds * defaults.NEWS_FACTOR)
+        self.news[change.host] = _Update(change, rounds * defaults.NEWS_FACTOR)
 
 
-def _get_left(news: _News) -> int:
-    return news.left
+def _get_remaining_sends(update: _Update) -> int:
+    return update.remaining_sends
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/places.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/places.py
@@ -1,8 +1,8 @@
-"""Where other balancers are, and how much they can carry.
+"""Availability zones and link bandwidths of the balancers.
 
-Each balancer tells its availability zone and its link with its messages, and
-passes on a few times what it hears of others, so that those of a zone know
-each other within some rounds of half a second.
+Each balancer sends its own availability zone and link bandwidth with its
+gossip messages, and relays those of others a few times.  The balancers of a
+zone thus know each other within a few rounds of half a second.
 """
 
 from collections.abc import Container, Iterable
@@ -15,30 +15,30 @@
 
 
 class Place(NamedTuple):
-    """What a balancer says of itself."""
+    """What a balancer announces about itself."""
 
     host: str
-    #: Counts up whenever it says something else.
+    #: Increased with each change of the other fields.
     version: int
-    #: Stands for its availability zone.
+    #: Tag of its availability zone.
     zone_tag: int
-    #: Megabits a second of its link; 0 while it takes no callers.
+    #: Bandwidth of its link in Mbit/s; 0 while it takes no callers.
     link_megabits: int
 
 
 class Places:
-    """The places that one balancer knows."""
+    """What one balancer knows about itself and the others."""
 
     def __init__(self, own: str, availability_zone: str, version: int) -> None:
-        """Start before this balancer takes callers."""
+        """Start as a balancer that takes no callers yet."""
         tag = compute_service_tag(availability_zone)
         self.own = Place(own, version, tag, 0)
         self.known: dict[str, Place] = {}
-        #: How often to pass on what was heard, by host.
-        self.left: dict[str, int] = {}
+        #: How often the latest info of each host is still to be relayed.
+        self.remaining_sends: dict[str, int] = {}
 
     def change_own(self, link_megabits: int) -> bool:
-        """Say another link; return whether it is another."""
+        """Set the bandwidth of the own link; return whether it changed."""
         own = self.own
         if own.link_megabits == link_megabits:
             return False
@@ -48,36 +48,42 @@
         )
         return True
 
-    def take(self, places: Iterable[Place]) -> None:
-        """Take what a message says; older news change nothing."""
-        for place in places:
-            known = self.known.get(place.host)
-            is_new = known is None or place.version > known.version
-            if is_new and place.host != self.own.host:
-                self.known[place.host] = place
+    def take(self, infos: Iterable[Place]) -> None:
+        """Merge infos from a message; ignore those of an older version."""
+        for balancer in infos:
+            known = self.known.get(balancer.host)
+            is_new = known is None or balancer.version > known.version
+            if is_new and balancer.host != self.own.host:
+                self.known[balancer.host] = balancer
                 rounds = (len(self.known) + 1).bit_length()
-                self.left[place.host] = rounds * defaults.NEWS_FACTOR
+                self.remaining_sends[balancer.host] = (
+                    rounds * defaults.NEWS_FACTOR
+                )
 
     def make_rows(self) -> tuple[Place, ...]:
-        """Return what one message says: the own place and the latest news."""
-        ranked = sorted(self.left, key=self.left.__getitem__, reverse=True)
-        told = ranked[: defaults.MAX_PLACES]
-        for heard in told:
-            self.left[heard] -= 1
-            if not self.left[heard]:
-                self.left.pop(heard)
-        return (self.own, *map(self.known.__getitem__, told))
+        """Return the infos to send: the own one, and the latest of others."""
+        ranked = sorted(
+            self.remaining_sends,
+            key=self.remaining_sends.__getitem__,
+            reverse=True,
+        )
+        relayed = ranked[: defaults.MAX_PLACES]
+        for relayed_host in relayed:
+            self.remaining_sends[relayed_host] -= 1
+            if not self.remaining_sends[relayed_host]:
+                self.remaining_sends.pop(relayed_host)
+        return (self.own, *map(self.known.__getitem__, relayed))
 
     def list_in_zone(self, alive: Container[str]) -> list[Place]:
-        """Return the others of the own zone that live."""
+        """Return the other balancers of the own zone that are alive."""
         return [
-            place
-            for place in self.known.values()
-            if place.zone_tag == self.own.zone_tag and place.host in alive
+            balancer
+            for balancer in self.known.values()
+            if balancer.zone_tag == self.own.zone_tag and balancer.host in alive
         ]
 
     def forget(self, hosts: Iterable[str]) -> None:
-        """Forget balancers that are lost; they tell anew when they return."""
-        for lost in hosts:
-            self.known.pop(lost, None)
-            self.left.pop(lost, None)
+        """Forget lost balancers; they announce themselves when they return."""
+        for lost_host in hosts:
+            self.known.pop(lost_host, None)
+            self.remaining_sends.pop(lost_host, None)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
@@ -1,4 +1,4 @@
-"""A packet balancer: sockets in, events through the reducer, sockets."""
+"""Packet balancer: passes events from sockets and timers to the reducer."""
 
 import time
 from collections.abc import Callable
@@ -54,12 +54,12 @@
 
 __all__ = ('PacketBalancer',)
 
-#: Incarnations have 32 bits.
+#: Number of incarnations, which have 32 bits.
 _INCARNATIONS: Final = 0x100000000
 
 
 class PacketBalancer:
-    """One balancer of opaque packet flows."""
+    """Balancer of opaque packet flows."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         process: PacketProcess,
         stack: ExitStack,
     ) -> None:
-        """Take open sockets; the stack closes all that is opened here."""
+        """Take open sockets; the stack closes whatever is opened here."""
         listen = settings.listen
         self.settings = settings
         self.process = process
@@ -91,16 +91,16 @@
         )
         self.decisions = DecisionLog(process.lines, process.counters)
         self.stopping_since: float | None = None
-        #: When any other process was heard last.
-        self.heard_at = now
+        #: When the latest message from any other process arrived.
+        self.last_message_at = now
         self.is_isolated = False
-        #: What the routers were told last.
+        #: The latest answer to the routers.
         self.was_ready = False
-        self.served_first = False
+        self.has_served = False
         self.peers = Peers(
             settings.instance.address,
             _parse_seeds(settings),
-            # Higher than that of an earlier start, which others may believe.
+            # Higher than that of an earlier start, which others may remember.
             incarnation=int(time.time()) % _INCARNATIONS,
         )
         self.places = Places(
@@ -115,8 +115,8 @@
             self.loop,
             process.lines,
             self.adapter.DECODERS,
-            self._change_catalog,
-            self._note_store,
+            self._apply_catalog,
+            self._handle_store_state,
             process.counters.count,
         )
         self.gossip = GossipDriver(
@@ -129,7 +129,7 @@
         )
         self.handlers = MappingProxyType[type, Callable[[Any], None]]({
             SendToAgent: self._send_to_agent,
-            TellBalancers: self.gossip.tell_all,
+            TellBalancers: self.gossip.broadcast,
             SendReset: self._send_reset,
             CatchUp: self._catch_up,
             Decided: self.decisions.take,
@@ -137,22 +137,22 @@
         })
 
     def start(self) -> None:
-        """Begin to learn and to serve."""
+        """Start to read the catalog and to serve callers."""
         loop = self.loop
         store = self.adapter.StoreClient(
             loop,
             parse_address(self.settings.store.address),
             self.catalog.take,
-            self._count_call,
+            self._count_store_call,
         )
         self.catalog.start(store)
         loop.add_reader(
             self.caller_socket,
-            make_reader(self.caller_socket, self._read_caller),
+            make_reader(self.caller_socket, self._handle_caller_packet),
         )
         loop.add_reader(
             self.peer_socket,
-            make_reader(self.peer_socket, self._read_peer),
+            make_reader(self.peer_socket, self._handle_peer_message),
         )
         listen = self.settings.listen
         ready = parse_address(listen.ready)
@@ -178,44 +178,48 @@
         self.gossip.start(self.peer_socket, self.peer_port)
 
     def stop(self) -> None:
-        """Leave in a planned way: first the routers must look elsewhere."""
+        """Begin a planned stop: first the routers must stop sending here."""
         if self.stopping_since is None:
             self.stopping_since = self.loop.clock()
             self.process.lines.tell('stopping')
 
     def reload(self, settings: BalancerPacketSettings) -> tuple[str, ...]:
-        """Ask other seeds from now on."""
+        """Apply changed settings; only the seeds can be changed."""
         self.settings = settings
         self.peers.change_seeds(_parse_seeds(settings))
         return ('listen.seeds',)
 
     @property
-    def takes_callers(self) -> bool:
-        """Return whether callers may come here at all."""
+    def can_serve(self) -> bool:
+        """Return whether this balancer can serve callers."""
         is_staying = self.stopping_since is None
         can_serve = self.state.has_catalog and not self.is_isolated
         return is_staying and can_serve
 
-    def _read_caller(self, datagram: bytes, sender: tuple[str, int]) -> None:
+    def _handle_caller_packet(
+        self, datagram: bytes, sender: tuple[str, int]
+    ) -> None:
         if not self.format.is_whole(datagram):
             self.process.counters.count('drop_malformed_packet')
             return
-        if not self.served_first:
-            self.served_first = True
+        if not self.has_served:
+            self.has_served = True
             self.process.lines.tell('first_caller_packet')
         self._dispatch(CallerPacket(self.loop.clock(), datagram))
 
-    def _read_peer(self, datagram: bytes, sender: tuple[str, int]) -> None:
+    def _handle_peer_message(
+        self, datagram: bytes, sender: tuple[str, int]
+    ) -> None:
         try:
             envelope, stamp = unpack_envelope(datagram)
         except MalformedEnvelope as error:
             self.process.counters.count(error.code)
             return
         now = self.loop.clock()
-        self.heard_at = now
+        self.last_message_at = now
         if envelope.kind == EnvelopeKind.GOSSIP:
             self._dispatch(StampHeard(now, stamp, sender[0]))
-            self.gossip.take(envelope, sender[0])
+            self.gossip.handle_message(envelope, sender[0])
             return
         self._dispatch(EnvelopeArrived(now, sender[0], envelope, stamp))
 
@@ -275,17 +279,18 @@
         if not send_datagram(self.caller_socket, reset, caller):
             self.process.counters.count('send_failed')
 
-    def _change_catalog(self, catalog: Catalog) -> None:
+    def _apply_catalog(self, catalog: Catalog) -> None:
         self._dispatch(CatalogChanged(self.loop.clock(), catalog))
-        # Others must not give verdicts from an older catalog.
-        self.gossip.tell()
+        # Others must not declare flows dead by an older catalog.
+        self.gossip.send_gossip()
 
-    def _note_store(self) -> None:
+    def _handle_store_state(self) -> None:
         follower = self.catalog.state
         answered = follower.failing_since is None
         if answered != self.state.reaches_store:
-            # Others count on this balancer's reading, or may again.
-            self.gossip.tell()
+            # Others must learn whether they can rely on this balancer to
+            # read the store.
+            self.gossip.send_gossip()
         self._dispatch(
             StoreSeen(
                 self.loop.clock(),
@@ -298,11 +303,11 @@
     def _catch_up(self, effect: CatchUp) -> None:
         self.catalog.catch_up()
 
-    def _count_call(self, call: str, outcome: str) -> None:
+    def _count_store_call(self, call: str, outcome: str) -> None:
         self.process.counters.count(f'store_{call}_{outcome}')
 
     def _make_ready(self, query: str) -> Page:
-        is_ready = self.takes_callers and not self.rotation.yields
+        is_ready = self.can_serve and not self.rotation.yields
         if is_ready != self.was_ready:
             self.was_ready = is_ready
             self.process.lines.tell('readiness_told', ready=is_ready)
@@ -311,53 +316,53 @@
     def _tick(self) -> None:
         now = self.loop.clock()
         self._dispatch(TimerFired(now))
-        self._note_isolation(now)
-        self._decide_rotation(now)
+        self._update_isolation(now)
+        self._update_rotation(now)
         if self.stopping_since is not None:
             self._check_stop(now, self.stopping_since)
 
-    def _note_isolation(self, now: float) -> None:
-        """Find out whether this balancer is cut off from all others.
+    def _update_isolation(self, now: float) -> None:
+        """Detect whether this balancer is isolated from all other processes.
 
-        Routers still reach it then, and their callers had better go to a
-        balancer of another availability zone.
+        The routers still reach it then, but a balancer of another
+        availability zone serves their callers better.
         """
-        silent = now - self.heard_at > defaults.ISOLATED_SECONDS
-        isolated = silent and bool(self.state.by_host)
-        if isolated == self.is_isolated:
+        is_silent = now - self.last_message_at > defaults.ISOLATED_SECONDS
+        is_isolated = is_silent and bool(self.state.by_host)
+        if is_isolated == self.is_isolated:
             return
-        self.is_isolated = isolated
-        event = 'isolated' if isolated else 'isolation_over'
-        self.process.lines.tell(event, heard_at=round(self.heard_at, 3))
+        self.is_isolated = is_isolated
+        event = 'isolated' if is_isolated else 'isolation_over'
+        self.process.lines.tell(event, heard_at=round(self.last_message_at, 3))
 
-    def _decide_rotation(self, now: float) -> None:
-        """Leave callers to balancers with wider links, or take them again."""
-        link = int(self.settings.listen.link_megabits)
-        offered = link if self.takes_callers else 0
-        if self.places.change_own(offered):
-            self.gossip.tell()
+    def _update_rotation(self, now: float) -> None:
+        """Withdraw in favour of balancers with faster links, or return."""
+        megabits = int(self.settings.listen.link_megabits)
+        offered_megabits = megabits if self.can_serve else 0
+        if self.places.change_own(offered_megabits):
+            self.gossip.send_gossip()
         alive = self.peers.heard.keys() - self.peers.suspected.keys()
         others = self.places.list_in_zone(alive)
         before = self.rotation.yields
         if self.rotation.decide(self.places.own, others, now) != before:
             self.process.lines.tell(
                 'link_yields' if self.rotation.yields else 'link_serves',
-                link_megabits=link,
+                link_megabits=megabits,
                 others={one.host: one.link_megabits for one in others},
             )
 
     def _check_stop(self, now: float, since: float) -> None:
-        """End once the routers send no more, or the time is up."""
-        quiet = now - max(self.state.ages.last_packet, since)
+        """Stop when the routers send no more packets, or on timeout."""
+        idle_seconds = now - max(self.state.ages.last_packet, since)
         if now - since < defaults.ROUTERS_SECONDS:
             return
-        if quiet > defaults.DRAINED_SECONDS:
+        if idle_seconds > defaults.DRAINED_SECONDS:
             self.loop.stop()
         elif now - since > defaults.STOP_SECONDS:
             self.loop.stop()
 
 
 def _parse_seeds(settings: BalancerPacketSettings) -> list[str]:
-    """Return the hosts of the balancers to ask first."""
+    """Return the hosts of the balancers to contact first."""
     seeds = settings.listen.seeds.split(',')
     return [parse_address(seed).host for seed in seeds if seed]
