--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/membership.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/membership.py
@@ -1,4 +1,4 @@
-"""Take later routes and upstreams into the balancer's state."""
+"""Applies new versions of the catalog to the balancer's state."""
 
 from keelgap.catalog.models import (
     Catalog,
@@ -24,9 +24,13 @@
     catalog: Catalog,
     now: float,
 ) -> Effects:
-    """Put a catalog in force; what went stays findable for a while."""
+    """Make a catalog the current one.
+
+    Removed routes and upstreams are kept for a while, so that their open
+    flows are still found.
+    """
     if catalog.routes.version != state.catalog.routes.version:
-        _change_routes(state, catalog, now)
+        _apply_routes(state, catalog, now)
     before = state.catalog
     state.catalog = catalog
     state.confirmed_revision = max(state.confirmed_revision, catalog.revision)
@@ -37,22 +41,22 @@
     if catalog.has_gap:
         state.holders.gap_at = now
     by_host = state.by_host
-    effects = _change_upstreams(state, catalog, now)
+    effects = _apply_upstreams(state, catalog, now)
     _index(state)
     note_displaced(state, by_host, now)
     return (
         *effects,
         *change_directories(state, now),
-        *_change_zones(state, before, now),
+        *_report_zone_changes(state, before, now),
     )
 
 
-def _change_zones(
+def _report_zone_changes(
     state: PacketState,
     before: Catalog,
     now: float,
 ) -> Effects:
-    """Tell agents and operators which availability zones take new flows."""
+    """Report changes of the availability zones that are out of service."""
     evacuated = state.catalog.evacuated
     left = evacuated.keys() - before.evacuated.keys()
     returned = before.evacuated.keys() - evacuated.keys()
@@ -70,7 +74,7 @@
     )
 
 
-def _change_routes(
+def _apply_routes(
     state: PacketState,
     catalog: Catalog,
     now: float,
@@ -88,15 +92,15 @@
     state.routes = routes
 
 
-def _change_upstreams(
+def _apply_upstreams(
     state: PacketState,
     catalog: Catalog,
     now: float,
 ) -> Effects:
-    """Take the entries of a catalog; return lines on what changed."""
+    """Apply the upstreams of a catalog; return log lines on the changes."""
     changed: dict[str, list[str]] = {}
     for upstream_id, upstream in catalog.upstreams.items():
-        change = _take_report(state, upstream, now)
+        change = _apply_entry(state, upstream, now)
         if change:
             changed.setdefault(change, []).append(upstream_id)
     for missed in catalog.missed:
@@ -110,24 +114,24 @@
         if identity not in listed and identity not in state.gone
     ]
     for identity in missing:
-        change = _miss_entry(state, identity, catalog, now)
+        change = _mark_missing(state, identity, catalog, now)
         changed.setdefault(change, []).append(identity.upstream_id)
     for returned in tuple(state.gone):
         if returned.upstream_id in catalog.upstreams:
-            _end_start(state, returned, now)
+            _replace_process(state, returned, now)
     return tuple(
-        line
+        decision
         for change, ids in changed.items()
-        for line in _tell_change(change, ids, catalog)
+        for decision in _log_change(change, ids, catalog)
     )
 
 
-def _take_report(
+def _apply_entry(
     state: PacketState,
     upstream: PacketUpstream,
     now: float,
 ) -> str:
-    """Take what an upstream says; return what changed, if anything."""
+    """Apply the entry of an upstream; return the change, or '' for none."""
     identity = upstream.identity
     view = state.agents.get(identity)
     if view is None:
@@ -144,9 +148,9 @@
     upstream: PacketUpstream,
     now: float,
 ) -> None:
-    """Take an upstream whose entry lapsed before it was read.
+    """Add an upstream whose entry expired before this balancer read it.
 
-    It may live, and hold flows that others opened there.
+    It may still be running, with flows that other balancers opened there.
     """
     view = AgentView(upstream, now)
     view.gone_since = now
@@ -154,44 +158,44 @@
     state.gone.add(upstream.identity)
 
 
-def _miss_entry(
+def _mark_missing(
     state: PacketState,
     identity: UpstreamIdentity,
     catalog: Catalog,
     now: float,
 ) -> str:
-    """Note that a start has no entry any more; return what became of it."""
+    """Handle an upstream process without an entry; return the change."""
     if identity.upstream_id in catalog.upstreams:
-        _end_start(state, identity, now)
+        _replace_process(state, identity, now)
         return 'restarted'
     state.agents[identity].gone_since = now
     state.gone.add(identity)
     return 'gone'
 
 
-def _end_start(
+def _replace_process(
     state: PacketState,
     identity: UpstreamIdentity,
     now: float,
 ) -> None:
-    """Forget a start whose upstream started again.
+    """Forget an upstream process that was replaced by a restarted one.
 
-    It cannot come back, so nobody waits for it.  That it holds no flow is for
-    the agents to say, whose upstreams answer or deny.
+    It cannot return, so no search waits for it.  Whether the upstream still
+    has a flow is decided by the answers of the agents alone.
     """
     state.agents.pop(identity).end(now)
     state.gone.discard(identity)
 
 
-def _tell_change(
+def _log_change(
     change: str,
     upstream_ids: list[str],
     catalog: Catalog,
 ) -> Effects:
-    """Return a line for each upstream, or one for many.
+    """Return a log line for each upstream, or a single one for many.
 
-    After an outage all of them change at once, and the lines of decisions on
-    flows must not be dropped for that.
+    After an outage all upstreams change at once.  A line for each of them
+    would make the log drop lines about flows.
     """
     if len(upstream_ids) > MAX_NAMED:
         fields = {
@@ -211,16 +215,18 @@
 
 
 def _index(state: PacketState) -> None:
-    """Sort the agents by service and by host.
+    """Index the agents by service and by host.
 
-    An address may be used again before the entry of its former upstream
-    lapses.  Of two upstreams on one host, one with an entry counts before
-    one without, and then the one whose entry was written later.
+    An address may be reused before the entry of its former upstream expires.
+    Of two upstreams on one host, one with an entry takes precedence over one
+    without, and then the one whose entry was written later.
     """
     by_host: dict[str, AgentView] = {}
     for view in state.agents.values():
         other = by_host.get(view.host)
-        if other is None or _rank_on_host(other) <= _rank_on_host(view):
+        if other is None or _get_host_precedence(other) <= _get_host_precedence(
+            view
+        ):
             by_host[view.host] = view
     by_service: dict[str, list[AgentView]] = {}
     for view in by_host.values():
@@ -238,7 +244,7 @@
     state: PacketState,
     by_host: dict[str, AgentView],
 ) -> None:
-    """Let searches ask again where another upstream is now."""
+    """Make searches ask the hosts again that have another upstream now."""
     changed = {
         host
         for host, view in by_host.items()
@@ -250,22 +256,22 @@
         search.asked = [host for host in search.asked if host not in changed]
 
 
-def _rank_on_host(view: AgentView) -> tuple[bool, int]:
+def _get_host_precedence(view: AgentView) -> tuple[bool, int]:
     return view.gone_since is None, view.upstream.revision
 
 
 def forget_former_routes(state: PacketState, now: float) -> None:
-    """Forget dropped routes whose flows are too old to go on."""
-    old = [
+    """Forget removed routes whose flows have reached the maximum age."""
+    expired = [
         key
         for key, former in state.former_routes.items()
         if now - former.dropped_at > defaults.FORMER_ROUTE_SECONDS
     ]
-    for key in old:
+    for key in expired:
         state.former_routes.pop(key)
 
 
-def _is_over(view: AgentView, now: float) -> bool:
+def _is_expired(view: AgentView, now: float) -> bool:
     since = view.gone_since
     if since is None or now - since <= defaults.GONE_SECONDS:
         return False
@@ -273,14 +279,14 @@
 
 
 def forget_gone(state: PacketState, now: float) -> None:
-    """Forget upstreams whose entry has been missing for long enough."""
-    over = [
+    """Forget upstreams whose entry has been missing for too long."""
+    expired = [
         identity
         for identity in state.gone
-        if _is_over(state.agents[identity], now)
+        if _is_expired(state.agents[identity], now)
     ]
-    for identity in over:
+    for identity in expired:
         state.agents.pop(identity)
         state.gone.discard(identity)
-    if over:
+    if expired:
         _index(state)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/notices.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/notices.py
@@ -1,4 +1,4 @@
-"""What agents are told of this balancer's catalog."""
+"""Notices to agents about the contents of this balancer's catalog."""
 
 from typing import Final
 
@@ -19,15 +19,16 @@
 
 
 def make_notice(state: PacketState, view: AgentView, now: float) -> bytes:
-    """Return what an agent should know of its upstream and its service.
+    """Return a notice to an agent about its upstream and its service.
 
-    Not which start it is, if this process is behind and another may have taken
-    its place: the agent would take the later one for a start that it saw.  A
-    young one is told all the same, for many start together with their agents.
+    While the catalog is stale, the notice does not identify the process of
+    the upstream: a later one may have replaced it, and the agent would take
+    that one for a process that it knows.  A recently started process is
+    identified all the same, since many start together with their agents.
     """
     upstream = view.upstream
     is_young = now < view.young_until
-    is_sure = is_young or not state.is_behind
+    is_identified = is_young or not state.is_behind
     directory = state.directories.get(upstream.service, NO_DIRECTORY)
     services = state.catalog.routes.services
     limits = services.get(upstream.service, _NO_LIMITS)
@@ -36,8 +37,8 @@
         UpstreamNotice(
             revision=state.catalog.revision,
             shards=directory.shards,
-            upstream_tag=view.seed if is_sure else 0,
-            upstream_revision=upstream.revision if is_sure else 0,
+            upstream_tag=view.seed if is_identified else 0,
+            upstream_revision=upstream.revision if is_identified else 0,
             is_young=is_young,
             is_evacuated=state.is_evacuated(view),
             warm_up_ms=round(warm_up * _MILLISECONDS),
@@ -51,11 +52,11 @@
     zones: frozenset[str],
     now: float,
 ) -> Effects:
-    """Tell the agents of some availability zones at once.
+    """Send notices to the agents of some availability zones at once.
 
-    They refuse what balancers offer that have not read of it yet.  In a large
-    fleet only the balancers of the same zone tell them: at the size to design
-    for each agent hears 124 times of it, and not 2,600 times.
+    The agents then refuse flows from balancers that have not yet read of the
+    change.  In a large fleet only the balancers of the same zone send them:
+    at the size to design for, each agent gets 124 notices instead of 2,600.
     """
     is_small = len(state.by_host) <= defaults.MAX_GREETED
     return tuple(
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/views.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/views.py
@@ -1,4 +1,4 @@
-"""What a balancer knows of agents, and of the directory nodes among them."""
+"""A balancer's view of agents, and of those that are directory nodes."""
 
 from keelgap.catalog.models import PacketUpstream
 from keelgap.packets.envelopes import (
@@ -18,7 +18,10 @@
 
 
 class AgentView:
-    """What this balancer knows of one start of an upstream, and its agent."""
+    """View of one process of an upstream, and of the agent beside it.
+
+    An upstream that restarts is another process, with a view of its own.
+    """
 
     __slots__ = (
         'gone_since',
@@ -40,39 +43,43 @@
     )
 
     def __init__(self, upstream: PacketUpstream, now: float) -> None:
-        """Start as an upstream of which nothing was heard."""
+        """Start without any message received from the agent."""
         self.upstream = upstream
         self.host = upstream.address.host
         self.service_tag = compute_service_tag(upstream.service)
-        #: Stands for this start, in rankings and towards directories.
+        #: Identifies this process of the upstream in rendezvous hashing and
+        #: towards directories.
         self.seed = compute_service_tag(':'.join(map(str, upstream.identity)))
         self.report = _NO_REPORT
         self.reported_at = now
-        #: New flows sent there since its last report.
+        #: New flows offered to the agent since its last load report.
         self.picks = 0
         self.last_heard = float('-inf')
-        #: When a flow was sent as a trial last.
+        #: When the agent was last sent a trial flow.
         self.tried_at = float('-inf')
-        #: Since when an answer is owed.
+        #: Since when a reply of the agent is due; None if none is.
         self.waiting_since: float | None = None
         self.hello_at = now
-        #: When it was told last of its directory because that lacked it.
+        #: When it was last sent a notice because a node of its directory
+        #: did not cover it.
         self.noticed_at = float('-inf')
         self.warm_at = now + upstream.warm_up_seconds
-        #: Until when it counts as just started.  One that gets cold later, in
-        #: an availability zone out of service, has made more reports.
+        #: Until when it counts as newly started.  An upstream that gets cold
+        #: later, in an availability zone that is out of service, has written
+        #: more reports to the store.
         self.young_until = float('-inf')
         if upstream.reports <= defaults.YOUNG_REPORTS:
             self.young_until = self.warm_at
-        #: Since when its entry is missing from the catalog.
+        #: Since when its entry is missing from the catalog; None if it is not.
         self.gone_since: float | None = None
-        #: Whether a later start of the upstream took its place.
+        #: Whether a later process of the upstream replaced it.
         self.has_ended = False
 
     def change_upstream(self, upstream: PacketUpstream, now: float) -> None:
-        """Take a report of the same start; one read again changes nothing.
+        """Apply an entry of the same process.
 
-        An upstream may get cold after its start.
+        An upstream may need to warm up again after its start.  An entry that
+        was read before does not extend the warm-up.
         """
         if upstream.revision != self.upstream.revision:
             self.warm_at = now + upstream.warm_up_seconds
@@ -80,7 +87,7 @@
         self.gone_since = None
 
     def end(self, now: float) -> None:
-        """Note that a later start took the place: it holds no flow more."""
+        """Record that a later process replaced it, which ended its flows."""
         self.has_ended = True
         self.gone_since = now
 
@@ -107,22 +114,22 @@
         return SendToAgent(self.host, envelope)
 
     def note_heard(self, now: float) -> None:
-        """Record any message of the agent."""
+        """Record that a message of any kind came from the agent."""
         self.last_heard = now
         self.waiting_since = None
 
     def expect_answer(self, now: float) -> None:
-        """Start to wait, unless an answer is owed already."""
+        """Expect a reply from now on, unless one is due already."""
         if self.waiting_since is None:
             self.waiting_since = now
 
     def is_quiet(self, now: float) -> bool:
-        """Return whether the agent owes an answer for too long."""
+        """Return whether a reply of the agent is overdue."""
         since = self.waiting_since
         return since is not None and now - since > defaults.QUIET_SECONDS
 
     def is_open(self) -> bool:
-        """Return whether it takes new flows, as far as is known."""
+        """Return whether it accepts new flows, as far as is known."""
         return (
             self.gone_since is None
             and self.upstream.state == 'active'
@@ -130,17 +137,17 @@
         )
 
     def may_return(self, now: float) -> bool:
-        """Return whether it lives although its entry is missing."""
+        """Return whether it still runs although its entry is missing."""
         since = self.gone_since
         if since is None or now - since >= defaults.GONE_SECONDS:
             return False
-        # One that drained has left.
+        # An upstream that was draining has stopped since.
         is_leaving = self.upstream.state != 'active' or self.report.closed
         return self.last_heard > since and not is_leaving
 
 
 class NodeView:
-    """What this balancer knows of one node of a flow directory."""
+    """View of one node of a flow directory."""
 
     __slots__ = (
         'asked_at',
@@ -152,16 +159,18 @@
     )
 
     def __init__(self) -> None:
-        """Start as a node that was never asked."""
-        #: Keys of flows to ask for once it has answered.
+        """Start without any question sent to the node."""
+        #: Keys of flows to ask for as soon as it has answered.
         self.waiting: dict[bytes, None] = {}
-        #: When it was asked for flows and has not answered.
+        #: When the question was sent that it has not answered; None if it
+        #: has answered all.
         self.asked_at: float | None = None
-        #: Whether it was asked again when it was heard and had not answered.
+        #: Whether that question was repeated when another message came from
+        #: the node first.
         self.is_asked_again = False
         #: Digest of the hosts in ``covered``.
         self.digest = 0
-        #: Hosts whose flows it knows completely.
+        #: Hosts of which the node knows all flows.
         self.covered: frozenset[str] = frozenset()
-        #: Parts of a later list of them.
+        #: Parts received so far of a newer list of these hosts.
         self.parts: dict[int, tuple[str, ...]] = {}
