--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
@@ -1,4 +1,4 @@
-"""When a new flow that agents have no time for is refused."""
+"""Early refusal of new flows for which no agent has capacity in time."""
 
 from typing import Final, NamedTuple
 
@@ -23,7 +23,7 @@
 
 
 class Excess(NamedTuple):
-    """What a caller got lately, and the most there is room for."""
+    """Recent flows of a caller, and the level of equal shares they reach."""
 
     got: float
     level: float
@@ -35,9 +35,9 @@
     key: bytes,
     now: float,
 ) -> Excess | None:
-    """Return by how much a caller had more than its share, if it had.
+    """Return the excess of a caller that had at least its share, or None.
 
-    An upstream that reports a free slot shows that the level is too low.
+    If an upstream reports a free slot, the level is too low and is raised.
     """
     shares = state.ages.shares
     queue = get_queue(route, key)
@@ -52,16 +52,16 @@
 
 
 def get_queue(route: PacketRoute, key: bytes) -> Queue:
-    """Return the flows that compete with a flow as equals."""
+    """Return the queue of the flows that compete with a flow as equals."""
     return Queue(choose_service(route, key), route.priority)
 
 
 def has_asked_enough(search: Search) -> bool:
-    """Return whether enough agents had no time for a flow.
+    """Return whether enough agents refused a flow for lack of time.
 
-    After that only agents are asked whose reports show room; reports may be
-    some ten milliseconds old, so one answer is not enough.  A balancer that
-    hears no agent refuses nobody.
+    After that, only agents whose reports show free capacity are asked.  A
+    single refusal is not enough, since reports may be some ten milliseconds
+    old.  A balancer without messages from agents refuses no flow.
     """
     return search.lacks_time >= defaults.FEWEST_WITHOUT_TIME
 
@@ -72,24 +72,26 @@
     key: bytes,
     now: float,
 ) -> set[str]:
-    """Return the hosts whose reports leave no room for a flow in time.
+    """Return the hosts whose reports show no capacity for a flow in time.
 
-    For one that is late already there is room only where nobody waits.
+    For a flow that is late already, only hosts without a queue have capacity.
     """
     service = choose_service(route, key)
     views = state.by_service.get(service, ())
-    left = max(route.aim_seconds - state.ages.get_age(key, now), 0)
-    return {view.host for view in views if _is_full(view, left, now)}
+    remaining_seconds = max(route.aim_seconds - state.ages.get_age(key, now), 0)
+    return {
+        view.host for view in views if _is_full(view, remaining_seconds, now)
+    }
 
 
-def _is_full(view: AgentView, left: float, now: float) -> bool:
+def _is_full(view: AgentView, remaining_seconds: float, now: float) -> bool:
     if view.is_quiet(now):
         return True
     report = view.report
     slots = max(view.upstream.slots, 1)
-    queue = report.busy + view.picks - slots
+    queue_length = report.busy + view.picks - slots
     work_ms = report.work_ms or report.answer_ms
-    return queue * work_ms / slots > left * _MILLISECONDS
+    return queue_length * work_ms / slots > remaining_seconds * _MILLISECONDS
 
 
 def _is_idle(view: AgentView, now: float) -> bool:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/ages.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/ages.py
@@ -1,10 +1,11 @@
-"""How long the caller of a new flow has been waiting already.
-
-A caller repeats its opening packet, and its packets count the copies; when it
-gives up, it opens a flow from another port.  Nothing in a packet says that
-two flows serve one request, but the second comes from the same host right
-after the first was given up or reset.  The guess orders those who wait for
-room.  With early refusal on it also decides who is refused.
+"""Estimates for how long the caller of a new flow has been waiting.
+
+A caller retransmits its opening packet, and each packet carries the number of
+copies sent before.  When the caller gives up, it opens a flow from another
+port.  Nothing in a packet tells that two flows belong to one request, but the
+second comes from the same host right after the first was given up or reset.
+The estimate determines the order in which flows wait for capacity.  With
+early refusal enabled it also decides which flows are refused.
 """
 
 from typing import Final, NamedTuple
@@ -16,173 +17,174 @@
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.shares import CallerShares
 
-__all__ = ('CallerAges', 'Waited', 'get_host', 'make_wait')
+__all__ = ('CallerAges', 'WaitEstimate', 'get_host', 'make_wait')
 
 _MILLISECONDS: Final = 1000
 
 
-class Waited(NamedTuple):
-    """For how many seconds a caller has waited."""
+class WaitEstimate(NamedTuple):
+    """For how many seconds a caller has been waiting."""
 
-    #: Since the first packet of this flow.
-    on_flow: float
-    #: Since it first asked for its request, as far as can be told.
+    #: Seconds since the first packet of this flow.
+    flow_seconds: float
+    #: Seconds since the first attempt of its request, as far as is known.
     on_request: float
-    #: By how much longer it may have waited for its request.
-    in_doubt: float = 0
+    #: Seconds by which the request may be older than that.
+    uncertainty: float = 0
 
 
 def make_wait(
     route: PacketRoute,
-    waited: Waited,
+    waited: WaitEstimate,
     *,
     is_first_try: bool,
 ) -> CallerWait:
-    """Return what an agent should know of a caller's patience.
+    """Return how long a caller has waited and will wait, for an agent.
 
-    Where earlier tries of the caller may have gone unseen, this one may be
-    its second.
+    If this balancer may have missed an earlier attempt of the caller, this
+    one may be its second.
     """
     on_request = route.timeout_seconds - waited.on_request
-    assured = on_request - waited.in_doubt
-    if not is_first_try and waited.on_request == waited.on_flow:
-        assured -= OPENING_SECONDS + defaults.RETRY_PAUSE_SECONDS
+    assured_seconds = on_request - waited.uncertainty
+    if not is_first_try and waited.on_request == waited.flow_seconds:
+        assured_seconds -= OPENING_SECONDS + defaults.RETRY_PAUSE_SECONDS
     return CallerWait(
         round(waited.on_request * _MILLISECONDS),
         round(on_request * _MILLISECONDS),
-        round(assured * _MILLISECONDS),
+        round(assured_seconds * _MILLISECONDS),
     )
 
 
 class _Opening(NamedTuple):
-    """A flow that was asked for and has not been seen to open."""
+    """A flow whose opening was requested and that is not known to be open."""
 
     #: When the caller sent the first packet of this flow.
-    attempted: float
-    #: When it first asked for the request, as far as can be told.
-    requested: float
-    #: How many seconds earlier that may have been.
-    in_doubt: float = 0
-    #: How often the request was refused for want of room.
+    started_at: float
+    #: When the first attempt of the request began, as far as is known.
+    requested_at: float
+    #: Seconds by which the request may be older than that.
+    uncertainty: float = 0
+    #: How often the request was refused for lack of capacity.
     refusals: int = 0
-    #: When the caller's latest packet of it was passed on.
-    passed: float = float('-inf')
+    #: When a packet of it was last forwarded to an agent.
+    forwarded_at: float = float('-inf')
 
 
 class CallerAges:
-    """Openings that came to nothing yet, by the caller's host."""
+    """Flow openings without an outcome, with the waiting time of callers."""
 
     def __init__(self, now: float) -> None:
-        """Start without any."""
-        #: When any packet of a caller came last.
+        """Start without openings."""
+        #: When the latest packet of any caller arrived.
         self.last_packet = now
         self.openings: dict[bytes, _Opening] = {}
         self.by_host: dict[bytes, list[bytes]] = {}
         self.shares = CallerShares()
-        #: Refused callers of whom the other balancers were not told yet.
+        #: Refused callers that are still to be announced to other balancers.
         self.untold: list[RefusedCaller] = []
         self.told_at = float('-inf')
 
-    def note_opening(self, key: bytes, copies: int, now: float) -> Waited:
-        """Return for how long the caller has waited."""
+    def note_opening(self, key: bytes, copies: int, now: float) -> WaitEstimate:
+        """Record an opening packet; return how long its caller has waited."""
         opening = self.openings.get(key)
         if opening is None:
-            attempted = now - estimate_wait(copies)
-            opening = self._take_given_up(key, attempted)
+            started_at = now - estimate_wait(copies)
+            opening = self._continue_given_up(key, started_at)
             if len(self.openings) < defaults.MAX_OPENINGS:
                 self._add(key, opening)
-        return Waited(
-            now - opening.attempted,
-            now - opening.requested,
-            opening.in_doubt,
+        return WaitEstimate(
+            now - opening.started_at,
+            now - opening.requested_at,
+            opening.uncertainty,
         )
 
     def was_refused(self, key: bytes) -> bool:
-        """Return whether this flow, or the try before it, was refused."""
+        """Return whether this flow or the previous attempt was refused."""
         opening = self.openings.get(key)
         return opening is not None and opening.refusals > 0
 
     def get_age(self, key: bytes, now: float) -> float:
-        """Return for how many seconds the caller of an opening waits."""
+        """Return for how many seconds the caller of an opening has waited."""
         opening = self.openings.get(key)
-        return 0 if opening is None else now - opening.requested
+        return 0 if opening is None else now - opening.requested_at
 
     def note_passed(self, key: bytes, now: float) -> None:
-        """Note that a packet of the caller went to an agent just now."""
+        """Record that a packet of the opening was forwarded to an agent."""
         opening = self.openings.get(key)
         if opening is not None:
-            self.openings[key] = opening._replace(passed=now)
+            self.openings[key] = opening._replace(forwarded_at=now)
 
     def may_be_open(self, key: bytes, now: float) -> bool:
-        """Return whether a caller may have opened its flow meanwhile.
+        """Return whether a flow may have been opened in the meantime.
 
-        A copy of its opening packet may have gone through another balancer,
-        and have been answered since this one saw the caller ask.
+        A copy of the opening packet may have gone through another balancer
+        and been answered after this one last forwarded a packet.
         """
         opening = self.openings.get(key)
         if opening is None:
             return True
-        return now - opening.passed > defaults.OPENED_SECONDS
+        return now - opening.forwarded_at > defaults.OPENED_SECONDS
 
     def is_given_up(self, key: bytes, now: float) -> bool:
-        """Return whether the caller of an opening no longer waits for it."""
+        """Return whether the caller has given up the opening."""
         opening = self.openings.get(key)
         if opening is None:
             return True
-        return now - opening.attempted >= defaults.GIVE_UP_SECONDS
+        return now - opening.started_at >= defaults.GIVE_UP_SECONDS
 
     def note_opened(self, key: bytes) -> None:
-        """Forget an opening: its flow goes on."""
+        """Forget an opening whose flow is open."""
         if key in self.openings:
             self._remove(key)
 
     def note_reset(self, key: bytes, now: float, searched: float = 0) -> None:
-        """Expect the caller of a flow that is reset to come again.
+        """Expect a retry from the caller of a flow that is reset.
 
-        The first packet of it that came here, ``searched`` seconds ago, may
-        have been a copy.  Neither is known of the next request of that host:
-        it leaves earlier in doubt, and is not taken for one that has left.
+        The first packet that arrived here, ``searched`` seconds ago, may have
+        been a copy, so the age of the request is uncertain.  The uncertainty
+        shortens the time for which the caller is assumed to stay, but never
+        makes its next request count as one whose caller has left.
         """
         opening = self.openings.get(key)
         given_up = now - defaults.GIVE_UP_SECONDS
         if opening is None:
-            requested = now - defaults.RESET_AGE_SECONDS
-            doubt = defaults.RESET_DOUBT_SECONDS + searched
+            requested_at = now - defaults.RESET_AGE_SECONDS
+            uncertainty = defaults.RESET_DOUBT_SECONDS + searched
         else:
-            requested = opening.requested
-            doubt = opening.in_doubt
+            requested_at = opening.requested_at
+            uncertainty = opening.uncertainty
             self._remove(key)
-        self._add(key, _Opening(given_up, requested, doubt))
+        self._add(key, _Opening(given_up, requested_at, uncertainty))
 
     def expire(self, now: float) -> None:
-        """Forget those that were given up and did not come again."""
-        limit = now - defaults.GIVE_UP_SECONDS - defaults.RETRY_SECONDS
+        """Forget openings that were given up and not retried in time."""
+        oldest_start = now - defaults.GIVE_UP_SECONDS - defaults.RETRY_SECONDS
         old = [
             key
             for key, opening in self.openings.items()
-            if opening.attempted < limit
+            if opening.started_at < oldest_start
         ]
         for key in old:
             self._remove(key)
 
     def note_refusal(self, key: bytes, now: float) -> None:
-        """Expect the caller of a refused flow again, unless it gives up.
+        """Expect a retry from the caller of a refused flow.
 
-        If it were expected after its last try, the next request from its
-        host would count as its retry, and as late.
+        After the last attempt none is expected: the next request from that
+        host would be counted as the retry, and as late.
         """
         opening = self.openings.get(key)
         if opening is None:
             return
         self._remove(key)
-        age_ms = round((now - opening.requested) * _MILLISECONDS)
+        age_ms = round((now - opening.requested_at) * _MILLISECONDS)
         caller = RefusedCaller(key, age_ms, opening.refusals + 1)
         if caller.refusals < defaults.CALLER_TRIES:
             self.expect_again(caller, now)
             self.untold.append(caller)
 
     def expect_again(self, caller: RefusedCaller, now: float) -> None:
-        """Take the next new flow of a refused caller for a retry."""
+        """Treat the next new flow of a refused caller as a retry."""
         if len(self.openings) >= defaults.MAX_OPENINGS:
             return
         since = defaults.GIVE_UP_SECONDS + defaults.RETRY_SECONDS
@@ -193,15 +195,15 @@
         )
         self._add(caller.key, opening)
 
-    def _take_given_up(self, key: bytes, attempted: float) -> _Opening:
-        """Return a new flow, with the age of the one it may be a retry of."""
-        limit = attempted - defaults.GIVE_UP_SECONDS
+    def _continue_given_up(self, key: bytes, started_at: float) -> _Opening:
+        """Return an opening with the age of the one that it may retry."""
+        latest_start = started_at - defaults.GIVE_UP_SECONDS
         for other in self.by_host.get(get_host(key), ()):
             opening = self.openings[other]
-            if opening.attempted <= limit:
+            if opening.started_at <= latest_start:
                 self._remove(other)
-                return opening._replace(attempted=attempted)
-        return _Opening(attempted, attempted)
+                return opening._replace(started_at=started_at)
+        return _Opening(started_at, started_at)
 
     def _add(self, key: bytes, opening: _Opening) -> None:
         if key not in self.openings:
@@ -218,5 +220,5 @@
 
 
 def get_host(key: bytes) -> bytes:
-    """Return the octets of a flow key that are the caller's address."""
+    """Return the octets of a flow key that hold the caller's address."""
     return key[:4]
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/ejection.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/ejection.py
@@ -1,7 +1,8 @@
-"""Which upstreams get no new flow because their agents ejected them.
+"""Exclusion of ejected upstreams from the placement of new flows.
 
-The agent beside an upstream sees all outcomes and decides; this balancer
-follows its reports, and bounds how many are left out of a service at once.
+The agent beside an upstream sees the outcomes of all its requests and decides
+on the ejection.  The balancer follows the agents' reports, and limits how many
+upstreams of a service are excluded at the same time.
 """
 
 from collections.abc import Container
@@ -23,8 +24,8 @@
 )
 
 Effects = tuple[PacketEffect, ...]
-_OUT: Final = 'upstream_left_out'
-_IN: Final = 'upstream_taken_in'
+_EXCLUDED_EVENT: Final = 'upstream_left_out'
+_READMITTED_EVENT: Final = 'upstream_taken_in'
 
 
 def note_ejection(
@@ -33,7 +34,7 @@
     report: LoadReport,
     now: float,
 ) -> Effects:
-    """Take what an agent says of its own upstream."""
+    """Apply the ejection state in an agent's report on its upstream."""
     if not state.features.ejection:
         return ()
     wanting = state.ejections.wanting
@@ -48,11 +49,11 @@
         state.ejections.out[view] = now
     else:
         state.ejections.out.pop(view)
-    return (_tell_change(state, view, now, is_out=report.is_ejected),)
+    return (_log_change(state, view, now, is_ejected_now=report.is_ejected),)
 
 
 def forget_ejections(state: PacketState) -> None:
-    """Forget what was known of upstreams that are gone for good."""
+    """Forget the ejections of upstreams that are no longer known."""
     for view in tuple(state.ejections.out):
         if state.agents.get(view.upstream.identity) is not view:
             state.ejections.out.pop(view)
@@ -64,12 +65,13 @@
     service: str,
     now: float,
 ) -> Container[AgentView]:
-    """Return the ejected upstreams of a service; nobody if they are too many.
+    """Return the ejected upstreams to exclude, or none if they are too many.
 
     The others must have at least half of the slots: if most upstreams fail,
-    the cause is elsewhere, and the others could not do their work.  Decided
-    over the whole service, whoever was asked for one flow; those whose agents
-    owe an answer do not count as serving.
+    the cause is not in the upstreams, and the others could not take over
+    their load.  All upstreams of the service count, whichever agents were
+    already asked to take a flow.  Upstreams with an unresponsive agent do not
+    count as serving.
     """
     out = state.ejections.out
     if not any(view.upstream.service == service for view in out):
@@ -91,17 +93,20 @@
     service: str,
     now: float,
 ) -> AgentView | None:
-    """Return an ejected upstream that a new flow should try, if any wants.
+    """Return an ejected upstream to which a new flow goes as a trial, if any.
 
-    A flow whose requests may be repeated, or, where none of them came for
-    long, any.  Upstreams of other availability zones are left to balancers
-    there, unless those have no such flow.
+    Trials are flows of idempotent requests; if there are none for a longer
+    time, any flow may be one.  Upstreams of other availability zones are left
+    to the balancers there, unless those do not send a trial in time.
     """
     for view, since in state.ejections.wanting.items():
         waited = now - since
-        if not _may_try(state, view, now) or view.upstream.service != service:
+        if (
+            not _may_send_trial(state, view, now)
+            or view.upstream.service != service
+        ):
             continue
-        if _leaves_trial(state, view, route, waited):
+        if _should_defer_trial(state, view, route, waited):
             continue
         view.tried_at = now
         return view
@@ -113,7 +118,7 @@
     view: AgentView,
     route: PacketRoute,
 ) -> EnvelopeKind:
-    """Return how a new flow is offered to an agent."""
+    """Return the kind of envelope that offers a new flow to an agent."""
     if route.is_idempotent and view in state.ejections.out:
         return EnvelopeKind.TRY
     return EnvelopeKind.OPEN
@@ -124,7 +129,7 @@
     views: tuple[AgentView, ...],
     now: float,
 ) -> bool:
-    """Return whether those that are not ejected have enough of the slots."""
+    """Return whether the upstreams that serve have enough of the slots."""
     all_slots = 0
     ejected_slots = 0
     for view in views:
@@ -134,7 +139,7 @@
     return all_slots - ejected_slots >= defaults.SERVING_SHARE * all_slots
 
 
-def _may_try(state: PacketState, view: AgentView, now: float) -> bool:
+def _may_send_trial(state: PacketState, view: AgentView, now: float) -> bool:
     is_due = now - view.tried_at >= defaults.TRIAL_PAUSE_SECONDS
     return is_due and _is_candidate(state, view, now)
 
@@ -148,26 +153,26 @@
     )
 
 
-def _leaves_trial(
+def _should_defer_trial(
     state: PacketState,
     view: AgentView,
     route: PacketRoute,
     waited: float,
 ) -> bool:
-    """Return whether another flow had better try an upstream."""
+    """Return whether to leave the trial of an upstream to another flow."""
     if not route.is_idempotent:
         return waited < defaults.ANY_TRIAL_SECONDS
     return not state.is_near(view) and waited < defaults.FAR_TRIAL_SECONDS
 
 
-def _tell_change(
+def _log_change(
     state: PacketState,
     view: AgentView,
     now: float,
     *,
-    is_out: bool,
+    is_ejected_now: bool,
 ) -> Decided:
-    """Return what is logged of a service whose candidates change."""
+    """Return the log line on an upstream that was ejected or readmitted."""
     upstream = view.upstream
     views = [
         one
@@ -175,13 +180,15 @@
         if one.is_open() and not state.is_evacuated(one)
     ]
     ejected = [one for one in views if one in state.ejections.out]
-    left_out = find_left_out(state, upstream.service, now)
+    excluded = find_left_out(state, upstream.service, now)
     fields = {
         'upstream': upstream.upstream_id,
         'service': upstream.service,
         'zone': upstream.availability_zone,
         'ejected': len(ejected),
         'open': len(views),
-        'all_in': bool(ejected) and ejected[0] not in left_out,
+        'all_in': bool(ejected) and ejected[0] not in excluded,
     }
-    return Decided(_OUT if is_out else _IN, fields)
+    return Decided(
+        _EXCLUDED_EVENT if is_ejected_now else _READMITTED_EVENT, fields
+    )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/rotation.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/rotation.py
@@ -1,14 +1,14 @@
-"""Whether a balancer with a thin link leaves callers to others.
+"""Withdrawal of balancers with slow links from the rotation.
 
 The routers give each balancer in rotation the same share of a zone's flows.
-What a link of 7 Mbit/s gets beside links of 100 Mbit/s is more than it carries
-whenever some uploads of 80 KB come together: their packets queue and are lost,
-and are repeated after 0.2, 0.4 and 0.8 s.  So where others of the zone have
-links of several times its own, a balancer says that it is not ready.
-
-It serves whatever comes to it all the same, and is ready again as soon as
-fewer than two such others are known to take callers.  At least half of a
-zone's balancers stay in rotation: with fewer the routers use all.
+Beside links of 100 Mbit/s, a link of 7 Mbit/s gets more than it can carry
+whenever several uploads of 80 KB coincide: packets are queued and lost, and
+callers retransmit them after 0.2, 0.4 and 0.8 s.  Therefore a balancer reports
+that it is not ready if others of the zone have links several times as fast.
+
+It still serves all packets that arrive, and is ready again as soon as fewer
+than two such balancers are known to take callers.  At least half of a zone's
+balancers stay in rotation: with fewer, the routers would use all of them.
 """
 
 from typing import NamedTuple
@@ -20,43 +20,43 @@
 
 
 def has_thin_link(own: Place, others: list[Place]) -> bool:
-    """Return whether the others of a zone should carry its callers."""
-    enough = own.link_megabits * defaults.THIN_LINK_FACTOR
-    wide = [one for one in others if one.link_megabits >= enough]
-    if not own.link_megabits or len(wide) < defaults.FEWEST_WIDE_LINKS:
+    """Return whether to leave the callers of the zone to the others."""
+    fast_megabits = own.link_megabits * defaults.THIN_LINK_FACTOR
+    fast = [one for one in others if one.link_megabits >= fast_megabits]
+    if not own.link_megabits or len(fast) < defaults.FEWEST_WIDE_LINKS:
         return False
-    # Those with the thinnest links go first; the host decides among equals.
+    # The slowest links withdraw first; the host decides among equals.
     rank = (own.link_megabits, own.host)
-    before = sum((one.link_megabits, one.host) < rank for one in others)
-    return before < (len(others) + 1) // 2
+    slower_count = sum((one.link_megabits, one.host) < rank for one in others)
+    return slower_count < (len(others) + 1) // 2
 
 
-class _Change(NamedTuple):
-    """What the others of the zone call for, and since when."""
+class _Target(NamedTuple):
+    """What the links of the zone call for, and since when."""
 
     yields: bool
     since: float
 
 
 class Rotation:
-    """The decision of one balancer, which does not change at each message."""
+    """Whether one balancer is withdrawn, with a delay against flapping."""
 
     def __init__(self, now: float) -> None:
         """Start in rotation."""
         self.yields = False
-        self.wanted = _Change(yields=False, since=now)
+        self.target = _Target(yields=False, since=now)
 
     def decide(self, own: Place, others: list[Place], now: float) -> bool:
         """Return whether to stay out of rotation from now on.
 
-        Into rotation at once, since callers may need this balancer; out of
-        it only when that has been right for some time, since the routers
-        move nearly all flows of the zone each time.
+        The balancer returns at once, since callers may need it.  It withdraws
+        only after the links have called for it for some time, since the
+        routers move nearly all flows of the zone with each change.
         """
         yields = has_thin_link(own, others)
-        if yields != self.wanted.yields:
-            self.wanted = _Change(yields, now)
-        waited = now - self.wanted.since
+        if yields != self.target.yields:
+            self.target = _Target(yields, now)
+        waited = now - self.target.since
         if not yields or waited >= defaults.YIELD_SECONDS:
             self.yields = yields
         return self.yields
