--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placement.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placement.py
@@ -1,4 +1,4 @@
-"""Where a new flow goes."""
+"""Selects the service and the agent for a new flow."""
 
 from collections.abc import Container, Sequence
 from math import log
@@ -22,27 +22,28 @@
 _HASH_RANGE: Final = float(1 << _HASH_BITS)
 
 
-class _Typical(NamedTuple):
-    """What is usual among the candidates for a flow."""
+class _TypicalLoad(NamedTuple):
+    """Typical values of the candidates for a flow."""
 
-    #: Requests at work for each open flow.
-    duty: float
-    #: Median of the mean times to an answer, in milliseconds.
+    #: Busy requests per open flow.
+    busy_per_flow: float
+    #: Median of the mean response times, in milliseconds.
     answer_ms: float
 
 
 def choose_service(route: PacketRoute, key: bytes) -> str:
     """Return the service of a flow, by the weights of its route.
 
-    The flow's key decides, so that all copies of its first packet agree.
+    The choice depends on the flow's key alone, so that all copies of its
+    first packet go to the same service.
     """
     if len(route.shares) == 1:
         return route.shares[0].service
     total = sum(share.weight for share in route.shares)
-    point = xxh3_64_intdigest(key) / _HASH_RANGE * total
+    position = xxh3_64_intdigest(key) / _HASH_RANGE * total
     for share in route.shares:
-        point -= share.weight
-        if point < 0:
+        position -= share.weight
+        if position < 0:
             return share.service
     return route.shares[-1].service
 
@@ -54,34 +55,35 @@
     now: float,
     excluded: Container[str],
 ) -> AgentView | None:
-    """Return the agent that should take a new flow, or None.
-
-    None in an availability zone that is out of service.  Agents that owe an
-    answer come last.  With ``placement`` on, and upstreams or load uneven, the
-    one wins that is expected to answer first.  Otherwise the least expected
-    load wins, and an agent in another availability zone only when the load
-    here exceeds its own by REMOTE_LOAD.  Without any, upstreams that still
-    speak though their entry went are taken: all entries lapse while the store
-    is away, and come back.
+    """Return the agent to which to offer a new flow, or None.
+
+    Agents in an availability zone that is out of service are never chosen,
+    and unresponsive agents come last.  If ``placement`` is enabled and
+    upstreams or load are uneven, the agent with the least expected latency is
+    chosen.  Otherwise it is the one with the least expected load; an agent in
+    another availability zone is chosen only when the load here exceeds its
+    own by REMOTE_ZONE_COST.  If there is no candidate, upstreams are used
+    whose entry is missing but whose agent still sends messages: all entries
+    expire while the store is unavailable, and return with it.
     """
     service = choose_service(route, key)
     candidates = list_candidates(state, service, key, now, excluded)
     if not candidates:
         return None
-    duty = _compute_duty(candidates)
+    busy_per_flow = _compute_busy_per_flow(candidates)
     if state.features.placement:
-        usual = measure_service(candidates, duty)
-        if usual is not None:
+        profile = measure_service(candidates, busy_per_flow)
+        if profile is not None:
             return choose_first_to_answer(
                 state,
-                usual,
+                profile,
                 candidates,
                 route.name,
                 key,
                 now,
             )
-    typical = _Typical(
-        duty,
+    typical = _TypicalLoad(
+        busy_per_flow,
         _compute_median([view.report.answer_ms for view in candidates]),
     )
     return min(
@@ -90,14 +92,14 @@
     )
 
 
-def _compute_median(numbers: list[int]) -> int:
-    """Return the lower median; importing statistics costs 20 ms of start."""
-    numbers.sort()
-    return numbers[(len(numbers) - 1) // 2]
+def _compute_median(values: list[int]) -> int:
+    """Return the lower median; importing statistics would take 20 ms."""
+    values.sort()
+    return values[(len(values) - 1) // 2]
 
 
-def _compute_duty(views: Sequence[AgentView]) -> float:
-    """Return the requests at work for each open flow."""
+def _compute_busy_per_flow(views: Sequence[AgentView]) -> float:
+    """Return the number of busy requests per open flow, at most 1."""
     flows = sum(view.report.flows for view in views)
     busy = sum(view.report.busy for view in views)
     return min(busy / flows, 1) if flows else 0
@@ -108,17 +110,17 @@
     view: AgentView,
     key: bytes,
     now: float,
-    typical: _Typical,
+    typical: _TypicalLoad,
 ) -> tuple[float, int]:
     report = view.report
     slots: float = view.upstream.slots
     if now < view.warm_at:
         slots *= defaults.WARM_UP_SLOTS
-    flows_at_work = report.flows * typical.duty
-    expected = (report.busy + flows_at_work) / 2 + view.picks
+    expected_busy = report.flows * typical.busy_per_flow
+    expected = (report.busy + expected_busy) / 2 + view.picks
     cost = (expected + 1) / slots
     if 0 < typical.answer_ms < report.answer_ms:
-        # As many requests take as much longer here.
+        # The same number of requests takes longer here, by this factor.
         cost *= report.answer_ms / typical.answer_ms
     if not state.is_near(view):
         cost += defaults.REMOTE_LOAD
@@ -126,10 +128,10 @@
 
 
 def _round_cost(cost: float) -> float:
-    """Return equal costs for queues of about the same length.
+    """Return equal costs for queues of similar length.
 
-    Then the hash decides, and copies of an opening packet that the routers
-    send through another balancer meet the same agent.
+    Among these the hash decides, so that copies of an opening packet that the
+    routers send through another balancer go to the same agent.
     """
     if cost < defaults.QUEUE_LOAD:
         return cost
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/__init__.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/__init__.py
@@ -1,5 +1,6 @@
-"""Placement of new flows where demand and upstreams are uneven.
+"""Placement of new flows by the expected latency of the agents.
 
-Used where the deployment calls for it; ``placement.choose_taker`` decides
-between this package and the ranking by load alone.
+Used if ``placement`` is enabled and demand or upstreams are uneven;
+``placement.choose_agent`` decides between this package and the ranking by
+load alone.
 """
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/candidates.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/candidates.py
@@ -1,4 +1,4 @@
-"""Who may take a new flow; of very many, a few."""
+"""Selects the candidates for a new flow; samples them in large services."""
 
 from collections.abc import Callable, Container, Iterable, Sequence
 from math import gcd
@@ -24,89 +24,91 @@
     now: float,
     excluded: Container[str],
 ) -> list[AgentView]:
-    """Return the agents among which the place of a flow is decided."""
+    """Return the agents among which to choose one for a new flow."""
     views = state.by_service.get(service, ())
-    left_out = find_left_out(state, service, now)
+    ejected = find_left_out(state, service, now)
     if state.features.placement and len(views) > defaults.MANY_CANDIDATES:
 
         def choose(drawn: Iterable[AgentView]) -> list[AgentView]:
-            able = _choose_able(state, drawn, now, excluded, left_out)
-            is_any = any(_is_ready(view, now, left_out) for view in able)
-            return able if is_any else []
+            accepting = _filter_accepting(state, drawn, now, excluded, ejected)
+            has_ready = any(_is_ready(view, now, ejected) for view in accepting)
+            return accepting if has_ready else []
 
-        candidates = _list_few(state, service, key, choose)
+        candidates = _sample(state, service, key, choose)
         if candidates:
             return candidates
-    return _choose_able(state, views, now, excluded, left_out)
+    return _filter_accepting(state, views, now, excluded, ejected)
 
 
-def _choose_able(
+def _filter_accepting(
     state: PacketState,
     views: Iterable[AgentView],
     now: float,
     excluded: Container[str],
-    left_out: Container[AgentView],
+    ejected: Container[AgentView],
 ) -> list[AgentView]:
-    """Return those that take flows, as far as is known.
+    """Return the agents that accept flows, as far as is known.
 
-    Those that owe an answer come last, behind those that are ejected, and
-    those whose entry went only where there is nobody else.
+    Ejected upstreams are used only if all responsive agents are ejected, and
+    unresponsive agents only if there is no other.  Upstreams whose entry is
+    missing are used only if no upstream has an entry.
     """
-    others = [
+    eligible = [
         view
         for view in views
         if view.host not in excluded and not state.is_evacuated(view)
     ]
-    members = [view for view in others if view.is_open()]
-    if not members:
-        members = [view for view in others if view.may_return(now)]
-    answering = [view for view in members if not view.is_quiet(now)]
-    takers = answering or members
-    return [view for view in takers if view not in left_out] or takers
+    open_views = [view for view in eligible if view.is_open()]
+    if not open_views:
+        open_views = [view for view in eligible if view.may_return(now)]
+    responsive = [view for view in open_views if not view.is_quiet(now)]
+    usable = responsive or open_views
+    return [view for view in usable if view not in ejected] or usable
 
 
 def _is_ready(
     view: AgentView,
     now: float,
-    left_out: Container[AgentView],
+    ejected: Container[AgentView],
 ) -> bool:
-    is_answering = view.is_open() and not view.is_quiet(now)
-    return is_answering and view not in left_out
+    is_responsive = view.is_open() and not view.is_quiet(now)
+    return is_responsive and view not in ejected
 
 
-def _list_few(
+def _sample(
     state: PacketState,
     service: str,
     key: bytes,
     choose: Callable[[Iterable[AgentView]], list[AgentView]],
 ) -> list[AgentView]:
-    """Return a few by the hash of a flow's key, most of them near.
+    """Return a sample by the hash of a flow's key, most of it of this zone.
 
-    All balancers of an availability zone draw the same ones for a flow.
-    Where none of the near ones is ready, all of them are looked through: a
-    flow does not leave its zone because of those drawn for it.  ``choose``
-    returns those that take flows, if any of them is ready.
+    All balancers of an availability zone draw the same sample for a flow.  If
+    none of the sampled agents of this zone is ready, all agents of the zone
+    are candidates: a flow must not leave its zone because of its sample.
+    ``choose`` returns the agents that accept flows, if any of them is ready.
     """
-    order = _get_order(state, service)
-    point = xxh3_64_intdigest(key)
-    near = _pick(order.near, point, defaults.DRAWN_NEAR)
+    order = _get_sampling_order(state, service)
+    hash_value = xxh3_64_intdigest(key)
+    near = _draw(order.near, hash_value, defaults.DRAWN_NEAR)
     count = defaults.DRAWN_FAR + defaults.DRAWN_NEAR - len(near)
     if not choose(near):
         near = order.near
-    return choose((*near, *_pick(order.far, point, count)))
+    return choose((*near, *_draw(order.far, hash_value, count)))
 
 
-def _get_order(state: PacketState, service: str) -> Order[AgentView]:
-    """Return the order of a service without zones out of service.
+def _get_sampling_order(state: PacketState, service: str) -> Order[AgentView]:
+    """Return the sampling order of a service.
 
-    Made anew when its members change, or those zones.
+    It leaves out availability zones that are out of service.  It is cached
+    until these zones or the upstreams of the service change.
     """
     views = state.by_service[service]
     evacuated = state.catalog.evacuated
     order = state.placing.orders.get(service)
     if order is None or not order.is_of(views, evacuated):
-        able = (view for view in views if not state.is_evacuated(view))
-        ordered = sorted(able, key=lambda view: view.seed)
+        in_service = (view for view in views if not state.is_evacuated(view))
+        ordered = sorted(in_service, key=lambda view: view.seed)
         order = Order(
             views,
             frozenset(evacuated),
@@ -117,17 +119,19 @@
     return order
 
 
-def _pick(
+def _draw(
     views: Sequence[AgentView],
-    point: int,
+    hash_value: int,
     count: int,
 ) -> Sequence[AgentView]:
-    """Return so many different ones, or all."""
+    """Return ``count`` distinct agents, or all if there are no more."""
     length = len(views)
     if length <= count:
         return views
-    step = (point >> _HALF_BITS) % (length - 1) + 1
+    step = (hash_value >> _HALF_BITS) % (length - 1) + 1
     while gcd(step, length) > 1:
-        # It would come back to those it drew.
+        # Such a step would return to agents that were already drawn.
         step = step % (length - 1) + 1
-    return [views[(point + step * number) % length] for number in range(count)]
+    return [
+        views[(hash_value + step * number) % length] for number in range(count)
+    ]
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/delays.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/delays.py
@@ -1,9 +1,9 @@
-"""Which agent is expected to answer a new flow first.
+"""Chooses the agent with the least expected latency for a new flow.
 
-Costs are in units of the work that one request is for a typical upstream of
-the service.  A flow that brings one request goes where that is answered
-first; one that stays goes by its share of the upstream's capacity, since it
-will load it for long.
+The unit of cost is the work that one request takes at a typical upstream of
+the service.  A flow with a single request goes where that request is expected
+to be answered first.  A long flow is placed by the share of the upstream's
+capacity that it takes, since it occupies that share for a long time.
 """
 
 from collections.abc import Callable, Sequence
@@ -23,39 +23,40 @@
 _HALF: Final = 0.5
 
 
-class Typical(NamedTuple):
-    """What is usual among the candidates for a flow."""
+class TypicalLoad(NamedTuple):
+    """Typical values of the candidates for a flow."""
 
-    #: Requests at work for each open flow.
-    duty: float
+    #: Busy requests per open flow.
+    busy_per_flow: float
     #: Median of the work of one request, in milliseconds; 0 if unknown.
     work_ms: int
 
 
-class _Question(NamedTuple):
-    """One new flow, and what its place depends on."""
+class _Flow(NamedTuple):
+    """What the cost of a new flow depends on besides the agent."""
 
     state: PacketState
-    typical: Typical
-    #: Share of the flows of its route that stay.
+    typical: TypicalLoad
+    #: Share of long flows among those of its route.
     long_share: float
     now: float
 
 
 def measure_service(
     views: Sequence[AgentView],
-    duty: float,
-) -> Typical | None:
-    """Return what is usual, or None where nothing is uneven.
-
-    Nothing is where nobody waits and all work at about the same pace, nor
-    where that of most is unknown: they have just begun, or their agents are
-    of an earlier release.
+    busy_per_flow: float,
+) -> TypicalLoad | None:
+    """Return the typical values of a service, or None if it is even.
+
+    A service is even if no requests wait and all upstreams take about the
+    same time for a request.  It counts as even, too, if that time is unknown
+    for most of them: they have just started, or their agents are of an
+    earlier release.
     """
     known = sorted(view.report.work_ms for view in views if view.report.work_ms)
     if len(known) * 2 < len(views):
         return None
-    typical = Typical(duty, known[(len(known) - 1) // 2])
+    typical = TypicalLoad(busy_per_flow, known[(len(known) - 1) // 2])
     if any(_is_unusual(view, typical) for view in views):
         return typical
     return None
@@ -63,39 +64,39 @@
 
 def choose_first_to_answer(
     state: PacketState,
-    typical: Typical,
+    typical: TypicalLoad,
     views: Sequence[AgentView],
     route_name: str,
     key: bytes,
     now: float,
 ) -> AgentView:
     """Return the agent with the least cost; the hash decides among equals."""
-    question = _Question(
+    flow = _Flow(
         state,
         typical,
         state.placing.spans.get_long_share(route_name),
         now,
     )
-    costs = {view.host: _compute_cost(question, view) for view in views}
+    costs = {view.host: _compute_cost(flow, view) for view in views}
     rank = _make_rank(costs, key)
-    near, others = _split(state, views)
-    taker = min(near or others, key=rank)
+    near, others = _split_by_zone(state, views)
+    best_near = min(near or others, key=rank)
     if not near or not others:
-        return taker
-    far = min(others, key=rank)
-    least = min(costs[view.host] for view in near)
-    waits = Waits(least, costs[far.host])
-    if waits.near <= waits.far + _compute_way(typical):
-        return taker
+        return best_near
+    best_far = min(others, key=rank)
+    near_cost = min(costs[view.host] for view in near)
+    waits = Waits(near_cost, costs[best_far.host])
+    if waits.near <= waits.far + _compute_zone_penalty(typical):
+        return best_near
     state.placing.waits = waits
-    return far
+    return best_far
 
 
-def _split(
+def _split_by_zone(
     state: PacketState,
     views: Sequence[AgentView],
 ) -> tuple[list[AgentView], list[AgentView]]:
-    """Return those of the own availability zone, and the others."""
+    """Return the agents of the own availability zone, and the others."""
     near: list[AgentView] = []
     others: list[AgentView] = []
     for view in views:
@@ -107,10 +108,11 @@
     costs: dict[str, float],
     key: bytes,
 ) -> Callable[[AgentView], tuple[int, int]]:
-    """Return a ranking by steps of the cost, and by the hash of the key.
+    """Return a ranking by steps of the cost, then by the hash of the key.
 
-    Reports are behind, and many balancers read the same ones.  Within a step
-    they agree on the place of one flow, and differ on that of the next.
+    Reports lag behind, and many balancers use the same ones.  For agents
+    within one step, all balancers choose the same agent for one flow, and
+    different agents for different flows.
     """
     step = log(defaults.COST_STEP)
     return lambda view: (
@@ -119,71 +121,73 @@
     )
 
 
-def _compute_way(typical: Typical) -> float:
-    """Return what the way to another availability zone costs."""
+def _compute_zone_penalty(typical: TypicalLoad) -> float:
+    """Return the cost of sending a flow to another availability zone."""
     return defaults.FAR_MARGIN + defaults.FAR_MILLISECONDS / typical.work_ms
 
 
-def _is_unusual(view: AgentView, typical: Typical) -> bool:
+def _is_unusual(view: AgentView, typical: TypicalLoad) -> bool:
     if view.report.busy > view.upstream.slots:
         return True
-    return _compute_pace(view, typical) != 1
+    return _compute_work_ratio(view, typical) != 1
 
 
-def _compute_pace(view: AgentView, typical: Typical) -> float:
-    """Return how many times the usual work a request is for an upstream.
+def _compute_work_ratio(view: AgentView, typical: TypicalLoad) -> float:
+    """Return the work of a request at an upstream, relative to the typical.
 
-    Paces that differ by little count as alike: they rest on few answers,
-    and are told in whole milliseconds.
+    Small differences count as none: the values are means of few responses,
+    reported in whole milliseconds.
     """
     work_ms = view.report.work_ms
     if not work_ms:
         return 1
     if abs(work_ms - typical.work_ms) <= defaults.ROUNDED_MILLISECONDS:
         return 1
-    pace = work_ms / typical.work_ms
-    is_alike = 1 / defaults.ALIKE_PACE < pace < defaults.ALIKE_PACE
-    return 1 if is_alike else max(pace, defaults.LEAST_PACE)
+    ratio = work_ms / typical.work_ms
+    is_similar = 1 / defaults.ALIKE_PACE < ratio < defaults.ALIKE_PACE
+    return 1 if is_similar else max(ratio, defaults.LEAST_PACE)
 
 
-def _compute_cost(question: _Question, view: AgentView) -> float:
+def _compute_cost(flow: _Flow, view: AgentView) -> float:
     """Return the expected cost of one more flow at an agent."""
     slots: float = view.upstream.slots
-    if question.now < view.warm_at:
+    if flow.now < view.warm_at:
         slots *= WARM_UP_SLOTS
-    share = question.long_share
-    cost = (1 - share) * _compute_delay(question, view, slots)
-    cost += share * _compute_load(question, view, slots)
-    return cost * _compute_pace(view, question.typical)
+    share = flow.long_share
+    cost = (1 - share) * _compute_latency(flow, view, slots)
+    cost += share * _compute_load(flow, view, slots)
+    return cost * _compute_work_ratio(view, flow.typical)
 
 
-def _compute_delay(
-    question: _Question,
+def _compute_latency(
+    flow: _Flow,
     view: AgentView,
     slots: float,
 ) -> float:
-    """Return how soon one request is answered, in requests of that agent."""
+    """Return the expected latency, in units of a request of that agent."""
     report = view.report
-    usual = report.flows * question.typical.duty
-    trust = _compute_trust(question.now - view.reported_at)
-    load = (usual + trust * (report.busy - usual) + view.picks) / slots
+    typical_busy = report.flows * flow.typical.busy_per_flow
+    weight = _compute_report_weight(flow.now - view.reported_at)
+    load = (
+        typical_busy + weight * (report.busy - typical_busy) + view.picks
+    ) / slots
     wait = max(load + 1 / slots - 1, 0)
-    # Even with a free slot others may come first.
+    # Even if a slot is free, other requests may take it first.
     return 1 + wait + defaults.LOAD_COST * min(load, 1)
 
 
 def _compute_load(
-    question: _Question,
+    flow: _Flow,
     view: AgentView,
     slots: float,
 ) -> float:
-    """Return the load of a slot with one flow more that stays."""
+    """Return the load per slot with one more long flow."""
     report = view.report
-    usual = report.flows * question.typical.duty
-    return ((report.busy + usual) * _HALF + view.picks + 1) / slots
+    typical_busy = report.flows * flow.typical.busy_per_flow
+    return ((report.busy + typical_busy) * _HALF + view.picks + 1) / slots
 
 
-def _compute_trust(age: float) -> float:
-    """Return how much a report says of now."""
+def _compute_report_weight(age: float) -> float:
+    """Return the weight of a report of some age, from 0 to 1."""
     beyond = max(age - defaults.FRESH_SECONDS, 0)
     return defaults.TRUSTED_SECONDS / (defaults.TRUSTED_SECONDS + beyond)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/memory.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/memory.py
@@ -1,4 +1,4 @@
-"""What placement keeps from one decision to the next."""
+"""State that placement keeps between decisions."""
 
 from collections.abc import Container, Mapping
 from typing import Generic, NamedTuple, TypeVar
@@ -13,12 +13,13 @@
 
 
 class Order(NamedTuple, Generic[View]):
-    """The upstreams of a large service, in the same order everywhere."""
+    """The upstreams of a large service, in the same order at all balancers."""
 
-    #: All of them, and the availability zones that were out of service.
+    #: All upstreams of the service, and the availability zones that were
+    #: out of service.
     views: tuple[View, ...]
     evacuated: frozenset[str]
-    #: Those that may be drawn.
+    #: Upstreams that may be drawn, of the own availability zone and others.
     near: tuple[View, ...]
     far: tuple[View, ...]
 
@@ -27,32 +28,32 @@
         views: tuple[View, ...],
         evacuated: Mapping[str, int],
     ) -> bool:
-        """Return whether it is made from these."""
+        """Return whether the order was made from these."""
         return self.views is views and self.evacuated == evacuated.keys()
 
 
 class Waits(NamedTuple):
-    """Why a flow went to another availability zone."""
+    """The costs for which a flow went to another availability zone."""
 
-    #: Least expected cost of an agent here, and that of the one elsewhere.
+    #: Least expected cost in the own zone, and that of the chosen agent.
     near: float
     far: float
 
 
 class PlacingMemory(Generic[View]):
-    """Learned spans, orders of large services, and counts."""
+    """Learned flow durations, cached sampling orders, and counters."""
 
     def __init__(self) -> None:
-        """Start without a flow."""
+        """Start without flows."""
         self.spans = FlowSpans()
         self.orders: dict[str, Order[View]] = {}
-        #: Flows placed in the own availability zone, and elsewhere.
+        #: Flows placed in the own availability zone, and in others.
         self.placed_near = 0
         self.placed_far = 0
         #: Of the latest decision, if it led to another availability zone.
         self.waits: Waits | None = None
-        #: When such a decision was told last.
-        self.told_at = float('-inf')
+        #: When such a decision was last logged.
+        self.last_logged_at = float('-inf')
 
     def keep_order(
         self,
@@ -60,15 +61,15 @@
         order: Order[View],
         services: Container[str],
     ) -> None:
-        """Keep the order of a service; drop those of services that went."""
+        """Cache the order of a service; drop those of removed services."""
         for name in tuple(self.orders):
             if name not in services:
                 self.orders.pop(name)
         self.orders[service] = order
 
     def is_tellable(self, now: float) -> bool:
-        """Return whether another line is due, and note that it is told."""
-        if now - self.told_at < TELL_SECONDS:
+        """Return whether another log line is due; if so, record its time."""
+        if now - self.last_logged_at < TELL_SECONDS:
             return False
-        self.told_at = now
+        self.last_logged_at = now
         return True
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/notes.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/notes.py
@@ -1,4 +1,4 @@
-"""What is counted, learned and told of a placement."""
+"""Counts, learns from and logs the placements of flows."""
 
 from keelgap.catalog.models import PacketRoute
 from keelgap_balancer.packets.effects import Decided, PacketEffect
@@ -10,29 +10,32 @@
 
 def note_placement(
     state: PacketState,
-    taker: AgentView,
+    view: AgentView,
     route: PacketRoute,
     key: bytes,
     now: float,
 ) -> tuple[PacketEffect, ...]:
-    """Note where a flow went; return a line if that is far, not too often."""
+    """Record a placement; return a log line if it is in another zone.
+
+    Lines are rate-limited.
+    """
     if not state.features.placement:
         return ()
-    memory = state.placing
-    memory.spans.watch(key, route.name, now)
-    if state.is_near(taker):
-        memory.placed_near += 1
+    placement_state = state.placing
+    placement_state.spans.watch(key, route.name, now)
+    if state.is_near(view):
+        placement_state.placed_near += 1
         return ()
-    memory.placed_far += 1
-    waits = memory.waits
-    if waits is None or not memory.is_tellable(now):
+    placement_state.placed_far += 1
+    waits = placement_state.waits
+    if waits is None or not placement_state.is_tellable(now):
         return ()
     fields = {
         'flow': state.format.describe_key(key),
         'route': route.name,
-        'upstream': taker.upstream.upstream_id,
+        'upstream': view.upstream.upstream_id,
         'near_cost': round(waits.near, 2),
         'far_cost': round(waits.far, 2),
-        'placed_far': memory.placed_far,
+        'placed_far': placement_state.placed_far,
     }
     return (Decided('placed_far', fields),)
