--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/__init__.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/__init__.py
@@ -1,5 +1,6 @@
 """Balancing of opaque packet flows.
 
-``placement`` decides where a new flow goes, ``search`` finds the owner of an
-open one, ``reducer`` ties them to events, ``server`` to sockets.
+``placement`` chooses the agent for a new flow, ``owner_search`` finds the owner
+of an open one, ``reducer`` calls them for events, and ``server`` connects the
+reducer to sockets.
 """
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/__main__.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/__main__.py
@@ -1,7 +1,8 @@
 """Run a packet balancer: ``python -m keelgap_balancer.packets SETTINGS``.
 
-Without an argument the path comes from the environment.  This start imports
-only what the first packet needs; ``keelgap run_packets`` does the same.
+Without an argument the path is taken from the environment.  This entry point
+imports only what the first packet needs, to start quickly; ``keelgap
+run_packets`` runs the same program.
 """
 
 import sys
@@ -25,7 +26,7 @@
 
 
 def _load_server() -> MakeServer[BalancerPacketSettings, PacketSockets]:
-    """Import the server only now: its sockets are open by then."""
+    """Import the server late, when its sockets are already open."""
     from keelgap_balancer.packets.server import (  # noqa: PLC0415, WPS433
         PacketBalancer,
     )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/conf.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/conf.py
@@ -11,27 +11,27 @@
 class PacketListenSettings(NamedTuple):
     """Section ``listen``: addresses as ``IPv4:port``, and ports."""
 
-    #: UDP: packets of callers.  Callers have the same port.
+    #: UDP address for packets of callers, which use the same port.
     callers: str
-    #: UDP: balancers and agents among themselves, the same port everywhere.
+    #: UDP port for messages between balancers and agents, the same for all.
     peer_port: int
-    #: TCP: whether the routers may send callers here.
+    #: TCP address where routers ask whether this balancer is ready.
     ready: str
-    #: TCP: what this balancer holds, for other balancers.
+    #: TCP address where other balancers read this balancer's catalog.
     control: str
     #: TCP port of the metrics page; 0 for none.
     metrics_port: int = 0
-    #: Control addresses of some balancers, with commas between.
+    #: Control addresses of some balancers, separated by commas.
     seeds: str = ''
-    #: Megabits a second of this instance's link; 0 if that is not known.
+    #: Bandwidth of this instance's link in Mbit/s; 0 if unknown.
     link_megabits: float = 0
 
 
 class StoreSettings(NamedTuple):
-    """Section ``store``: where routes and upstreams are published."""
+    """Section ``store``: the store of routes and upstreams."""
 
     address: str
-    #: Python module of the platform's adapter.
+    #: Python module of the adapter to the platform.
     adapter: str = 'keelgap_platform.adapter'
 
 
