--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/directories.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/directories.py
@@ -1,7 +1,7 @@
-"""Questions to the flow directories of large services.
+"""Client of the flow directories of large services.
 
-A node is asked for many flows at once: while it owes an answer, further keys
-wait, and go together in the next question.
+Lookups are batched: while a directory node has not answered, further flow keys
+are queued and sent together in the next lookup.
 """
 
 from itertools import islice
@@ -41,11 +41,12 @@
 
 
 def change_directories(state: PacketState, now: float) -> Effects:
-    """Compute the directories of the catalog in force.
+    """Recompute the directories from the catalog in force.
 
-    Agents of the own availability zone are told at once where one moved.
+    Where the nodes of a directory changed, the agents of the service in the
+    same availability zone are notified at once.
     """
-    former = state.directories
+    previous = state.directories
     directories = {
         service: _make_directory(state, views)
         for service, views in state.by_service.items()
@@ -56,9 +57,9 @@
         if directory.shards
     }
     effects: list[PacketEffect] = []
-    for moved, later in state.directories.items():
-        if former.get(moved, NO_DIRECTORY).shards != later.shards:
-            effects.extend(_tell_near(state, moved, now))
+    for service, directory in state.directories.items():
+        if previous.get(service, NO_DIRECTORY).shards != directory.shards:
+            effects.extend(_notify_same_zone(state, service, now))
     return tuple(effects)
 
 
@@ -66,7 +67,7 @@
     state: PacketState,
     views: tuple[AgentView, ...],
 ) -> FlowDirectory:
-    """Return the directory of a service on the hosts that have an entry."""
+    """Return the directory of a service, kept by its hosts with an entry."""
     hosts = sorted(
         view.host
         for view in views
@@ -75,7 +76,7 @@
     return make_directory(state.catalog.revision, hosts, defaults.MAX_ASKED)
 
 
-def _tell_near(state: PacketState, service: str, now: float) -> Effects:
+def _notify_same_zone(state: PacketState, service: str, now: float) -> Effects:
     return tuple(
         view.send(
             EnvelopeKind.ASK,
@@ -88,7 +89,7 @@
 
 
 def look_up(state: PacketState, host: str, key: bytes, now: float) -> Effects:
-    """Ask a node for a flow, together with others if it is busy."""
+    """Look up a flow at a directory node, or queue it if the node is busy."""
     node = state.nodes.setdefault(host, NodeView())
     node.waiting[key] = None
     asked_at = node.asked_at
@@ -102,7 +103,10 @@
     state: PacketState,
     event: EnvelopeArrived,
 ) -> tuple[Lookup, Effects]:
-    """Return an answer and what to send now; raise MalformedEnvelope."""
+    """Return a node's answer and the next lookup to send to the node.
+
+    Raises MalformedEnvelope.
+    """
     lookup = unpack_lookup(event.envelope.content)
     node = state.nodes.setdefault(event.sender, NodeView())
     node.asked_at = None
@@ -111,7 +115,10 @@
 
 
 def take_coverage(state: PacketState, event: EnvelopeArrived) -> bool:
-    """Return whether the list is whole now; raise MalformedEnvelope."""
+    """Store one part of a node's coverage; return whether it is complete.
+
+    Raises MalformedEnvelope.
+    """
     coverage = unpack_coverage(event.envelope.content)
     node = state.nodes.setdefault(event.sender, NodeView())
     if not coverage.part:
@@ -122,7 +129,8 @@
     hosts = frozenset(host for part in node.parts.values() for host in part)
     node.parts = {}
     if digest_hosts(hosts) != coverage.digest:
-        # Parts of two lists; the next answer asks again.
+        # The parts belong to two lists.  The next lookup requests the list
+        # again, as it carries the digest that is known here.
         return False
     node.covered = hosts
     node.digest = coverage.digest
@@ -130,9 +138,9 @@
 
 
 def tell_uncovered(state: PacketState, host: str, now: float) -> Effects:
-    """Tell agents of the directory for which a node does not speak yet.
+    """Send the directory to agents that one of its nodes does not cover yet.
 
-    They may have begun a moment ago; their next greeting may be far away.
+    They may have just started, and their next poll may be far away.
     """
     covered = state.nodes[host].covered
     service = state.by_host[host].upstream.service
@@ -154,7 +162,7 @@
     node: NodeView,
     now: float,
 ) -> Effects:
-    """Ask a node for the flows that wait for it."""
+    """Look up the flows that are queued for a directory node."""
     keys = tuple(islice(node.waiting, MAX_KEYS))
     view = state.by_host.get(host)
     if view is None or not keys:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/unlisted.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/unlisted.py
@@ -1,10 +1,11 @@
 """Agents that may serve a service for which the catalog does not list them.
 
-Addresses are used again, and balancers learn of that at different times.  One
-that is behind may open flows at an upstream that no balancer has read of yet,
-on a host that the catalog in force here lists for another service.  Three
-things tell of such an agent: its host was listed for the service a moment ago,
-its own envelopes name the service, or other balancers still list it so.
+Addresses are reused, and balancers learn of that at different times.  A
+balancer with an outdated catalog may open flows at an upstream that no balancer
+has read of yet, on a host that the catalog in force here lists for another
+service.  Such an agent is detected in three ways: its host was listed for the
+service until a moment ago, its own envelopes name the service, or other
+balancers still list it for the service.
 """
 
 from collections.abc import Mapping
@@ -62,47 +63,51 @@
     before: Mapping[str, AgentView],
     now: float,
 ) -> None:
-    """Keep the agents on hosts that the catalog lists for another service now.
+    """Record agents whose host the catalog now lists for another service.
 
-    ``before`` has the agents by host as they were until now.
+    ``before`` maps hosts to agents as they were before the change.
     """
     for view in (*before.values(), *state.agents.values()):
         listed = state.by_host.get(view.host)
         if listed is None or listed.service_tag == view.service_tag:
             continue
-        _keep(state, view, now)
+        _record_view(state, view, now)
     relisted = [
         (host, service)
         for host, service in state.holders.unlisted
         if host in state.by_host
         and state.by_host[host].upstream.service == service
     ]
-    for place in relisted:
-        state.holders.unlisted.pop(place)
+    for key in relisted:
+        state.holders.unlisted.pop(key)
 
 
-def _keep(state: PacketState, view: AgentView, now: float) -> AgentView:
-    """Return a view of an agent without an entry, not of one start."""
-    place = (view.host, view.upstream.service)
-    kept = state.holders.unlisted.get(place)
-    if kept is None:
-        kept = AgentView(view.upstream, now)
-        state.holders.unlisted[place] = kept
+def _record_view(state: PacketState, view: AgentView, now: float) -> AgentView:
+    """Record an agent without a catalog entry and return its view.
+
+    The view stands for the host and service, not for one process start.
+    """
+    key = (view.host, view.upstream.service)
+    view_without_entry = state.holders.unlisted.get(key)
+    if view_without_entry is None:
+        view_without_entry = AgentView(view.upstream, now)
+        state.holders.unlisted[key] = view_without_entry
         state.holders.unspoken.clear()
-    kept.gone_since = now
-    return kept
+    view_without_entry.gone_since = now
+    return view_without_entry
 
 
 def find_sender(
     state: PacketState,
     event: EnvelopeArrived,
 ) -> tuple[AgentView | None, Effects]:
-    """Return the agent that sent an envelope, and what to log of it.
+    """Return the agent that sent an envelope, and effects to log.
 
-    The service that it names counts, not the one that the catalog lists.
+    The service named in the envelope takes precedence over the one that the
+    catalog lists.
     """
     tag = event.envelope.service_tag
-    told = note_service(state, event.sender, tag, event.now)
+    effects = note_service(state, event.sender, tag, event.now)
     listed = state.by_host.get(event.sender)
     views = [
         view
@@ -111,14 +116,14 @@
     ]
     if not views:
         return None, (Decided('drop_unknown_sender'),)
-    for answering in views:
-        answering.waiting_since = None
+    for candidate in views:
+        candidate.waiting_since = None
     if listed is not None:
         listed.note_heard(event.now)
-    named = (view for view in views if view.service_tag == tag)
-    sender = next(named, views[0])
+    matching = (view for view in views if view.service_tag == tag)
+    sender = next(matching, views[0])
     sender.note_heard(event.now)
-    return sender, told
+    return sender, effects
 
 
 def note_service(
@@ -127,9 +132,10 @@
     tag: int,
     now: float,
 ) -> Effects:
-    """Keep a host for a service for which the catalog does not list it.
+    """Record that a host serves a service for which it is not listed.
 
-    Only where a route leads to the service, and the catalog lists the host.
+    Does nothing unless a route leads to the service and the catalog lists the
+    host.
     """
     listed = state.by_host.get(host)
     if listed is None or listed.service_tag == tag:
@@ -139,7 +145,7 @@
         return ()
     was_known = (host, service) in state.holders.unlisted
     row = listed.upstream._replace(service=service)
-    _keep(state, AgentView(row, now), now)
+    _record_view(state, AgentView(row, now), now)
     if was_known:
         return ()
     fields = {
@@ -152,27 +158,27 @@
 
 
 def _find_service(state: PacketState, tag: int) -> str | None:
-    """Return the service that a tag stands for, if a route leads there."""
+    """Return the service with a tag, if a route leads to it."""
     services = (
         share.service
         for route in state.routes.values()
         for share in route.shares
     )
     return next(
-        (one for one in services if compute_service_tag(one) == tag),
+        (name for name in services if compute_service_tag(name) == tag),
         None,
     )
 
 
 def forget_unlisted(state: PacketState, now: float) -> None:
-    """Forget agents that nothing has told of for long enough."""
-    old = [
-        place
-        for place, view in state.holders.unlisted.items()
+    """Forget unlisted agents that were not seen for UNLISTED_SECONDS."""
+    expired = [
+        key
+        for key, view in state.holders.unlisted.items()
         if now - max(view.gone_since or 0, view.last_heard)
         > defaults.UNLISTED_SECONDS
     ]
-    for place in old:
-        state.holders.unlisted.pop(place)
-    if old:
+    for key in expired:
+        state.holders.unlisted.pop(key)
+    if expired:
         state.holders.unspoken.clear()
