--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/effects.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/effects.py
@@ -1,4 +1,4 @@
-"""Effects that the packet balancer asks its driver for."""
+"""Effects that the reducer of the packet balancer returns to its driver."""
 
 from typing import Any, Final, NamedTuple
 
@@ -24,31 +24,31 @@
 
 
 class TellBalancers(NamedTuple):
-    """Send a message of this kind to the other balancers."""
+    """Send a message to the other balancers."""
 
     kind: int
     content: bytes
 
 
 class SendReset(NamedTuple):
-    """Reset the flow of this packet towards its caller."""
+    """Send a reset to the caller of a packet."""
 
     datagram: bytes
 
 
 class CatchUp(NamedTuple):
-    """Read at once what the store has changed; a verdict waits for it."""
+    """Read the latest changes of the store now; a search waits for them."""
 
 
 class Decided(NamedTuple):
-    """Count a decision by name, and log it if it has fields."""
+    """Count an event by name, and log it if it has fields."""
 
     name: str
     fields: dict[str, Any] | None = None
 
 
 class Observed(NamedTuple):
-    """Count a duration under a name and a service."""
+    """Record a duration in the histogram of a name and a service."""
 
     name: str
     service: str
@@ -58,17 +58,17 @@
 PacketEffect = (
     Observed | SendToAgent | TellBalancers | SendReset | CatchUp | Decided
 )
-_CATCH_UP: Final = CatchUp()
+_REFRESH: Final = CatchUp()
 
 
 def keep_one_catch_up(
     effects: tuple[PacketEffect, ...],
 ) -> tuple[PacketEffect, ...]:
-    """Leave the first of those that one event leads to.
+    """Merge the requests of one event to refresh the catalog into one.
 
-    After an outage thousands of searches may wait for one catalog.
+    After an outage thousands of searches may wait for the same catalog.
     """
-    if len(effects) == 1 or effects.count(_CATCH_UP) <= 1:
+    if len(effects) == 1 or effects.count(_REFRESH) <= 1:
         return effects
-    others = tuple(one for one in effects if one != _CATCH_UP)
-    return (_CATCH_UP, *others)
+    others = tuple(effect for effect in effects if effect != _REFRESH)
+    return (_REFRESH, *others)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/events.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/events.py
@@ -1,4 +1,7 @@
-"""Events of the packet balancer; ``now`` is in seconds of one clock."""
+"""Events of the packet balancer.
+
+``now`` is in seconds; all events take it from the same clock.
+"""
 
 from typing import NamedTuple
 
@@ -17,14 +20,14 @@
 
 
 class CallerPacket(NamedTuple):
-    """A whole packet of a caller arrived."""
+    """A complete packet arrived from a caller."""
 
     now: float
     datagram: bytes
 
 
 class EnvelopeArrived(NamedTuple):
-    """Another process sent an envelope."""
+    """An envelope arrived from another process."""
 
     now: float
     sender: str
@@ -33,29 +36,29 @@
 
 
 class CatalogChanged(NamedTuple):
-    """Later routes or upstreams are in force."""
+    """A catalog with later routes or upstreams was read."""
 
     now: float
     catalog: Catalog
 
 
 class StoreSeen(NamedTuple):
-    """The store answered without news, or no longer answers."""
+    """The store answered without changes, or does not answer any more."""
 
     now: float
     #: Revision up to which the catalog in force is known to be complete.
     revision: int
-    #: Revision of the latest change that the store told of.
+    #: Revision of the latest change that the store reported.
     latest_change: int
     reaches_store: bool
 
 
 class StampHeard(NamedTuple):
-    """Another balancer told what it knows of the store."""
+    """Another balancer sent what it knows of the store."""
 
     now: float
     stamp: Stamp
-    #: Its host, if it can be asked.
+    #: Host of the balancer if it accepts queries, else empty.
     sender: str = ''
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
@@ -80,12 +80,12 @@
     state: PacketState,
     event: PacketEvent,
 ) -> tuple[PacketState, Effects]:
-    """Return the state after an event and what the driver must do."""
+    """Return the state after an event and the effects for the driver."""
     effects = _HANDLERS[type(event)](state, event)
     return state, keep_one_catch_up(effects)
 
 
-def _take_caller_packet(state: PacketState, event: CallerPacket) -> Effects:
+def _handle_caller_packet(state: PacketState, event: CallerPacket) -> Effects:
     datagram = event.datagram
     now = event.now
     state.ages.last_packet = now
@@ -108,7 +108,7 @@
         state.placing.spans.note_end(key, now)
     state.ages.note_opened(key)
     owner = state.owners.get(key)
-    if owner is not None and not _is_lost(owner, now):
+    if owner is not None and not _is_owner_lost(owner, now):
         return (forward(state, owner, datagram),)
     state.owners.forget(key)
     route = state.find_route(datagram)
@@ -117,8 +117,8 @@
     return take_unknown_flow(state, route, key, datagram, now)
 
 
-def _is_lost(owner: AgentView, now: float) -> bool:
-    """Return whether an owner went for good."""
+def _is_owner_lost(owner: AgentView, now: float) -> bool:
+    """Return whether an owner has left for good."""
     if owner.has_ended:
         return True
     since = owner.gone_since
@@ -127,31 +127,31 @@
     return now - owner.last_heard > defaults.GONE_SECONDS
 
 
-def _forward_again(
+def _forward_denied(
     state: PacketState,
     owner: AgentView,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Pass on a packet that another agent denied, but not for ever."""
+    """Forward a packet that another agent returned, up to MAX_HOPS times."""
     hop = event.envelope.hop + 1
     if hop > defaults.MAX_HOPS:
         return (Decided('drop_too_many_hops'),)
     return (forward(state, owner, event.envelope.content, hop),)
 
 
-def _take_envelope(state: PacketState, event: EnvelopeArrived) -> Effects:
-    take = _BALANCER_HANDLERS.get(event.envelope.kind)
-    if take is not None:
-        return take(state, event)
-    view, told = find_sender(state, event)
+def _handle_envelope(state: PacketState, event: EnvelopeArrived) -> Effects:
+    handler = _BALANCER_HANDLERS.get(event.envelope.kind)
+    if handler is not None:
+        return handler(state, event)
+    view, logged = find_sender(state, event)
     if view is None:
-        return told
+        return logged
     state.note_stamp(event.stamp)
-    taken = _take_known(state, event, view)
-    return (*told, *taken, *look_up_again(state, view.host, event.now))
+    effects = _dispatch_envelope(state, event, view)
+    return (*logged, *effects, *look_up_again(state, view.host, event.now))
 
 
-def _take_known(
+def _dispatch_envelope(
     state: PacketState,
     event: EnvelopeArrived,
     view: AgentView,
@@ -165,14 +165,14 @@
         return (Decided(error.code),)
 
 
-def _take_report(
+def _handle_report(
     state: PacketState,
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
     report = unpack_report(event.envelope.content)
     if state.by_host.get(view.host) is not view:
-        # Of an upstream that gets no new flow from here.
+        # The view is of an upstream that gets no new flows from here.
         return ()
     view.report = report
     view.picks = 0
@@ -180,17 +180,17 @@
     return note_ejection(state, view, view.report, event.now)
 
 
-def _greet_agent(
+def _send_notice(
     state: PacketState,
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
-    """Tell an agent that has just begun what it cannot read itself."""
+    """Send an agent that has just started what it cannot read itself."""
     notice = make_notice(state, view, event.now)
     return (view.send(EnvelopeKind.ASK, notice, REPORT_FORMAT),)
 
 
-def _take_found(
+def _handle_found(
     state: PacketState,
     event: EnvelopeArrived,
     view: AgentView,
@@ -198,7 +198,7 @@
     return take_found(state, event)
 
 
-def _take_covered(
+def _handle_covered(
     state: PacketState,
     event: EnvelopeArrived,
     view: AgentView,
@@ -206,7 +206,7 @@
     return take_covered(state, event)
 
 
-def _take_owned(
+def _handle_owned(
     state: PacketState,
     event: EnvelopeArrived,
     view: AgentView,
@@ -224,20 +224,20 @@
         'asked': search.questions,
         'listed': state.by_host.get(view.host) is view,
     }
-    searched = event.now - search.started
+    search_seconds = event.now - search.started
     service = view.upstream.service
     return (
         Decided('found_owner', fields),
-        Observed('search_seconds', service, searched),
+        Observed('search_seconds', service, search_seconds),
     )
 
 
-def _take_miss(
+def _handle_miss(
     state: PacketState,
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
-    """Go on with a packet that an agent gave back."""
+    """Offer a returned opening packet elsewhere, or continue a search."""
     datagram = event.envelope.content
     if not state.format.is_whole(datagram):
         return (Decided(MalformedEnvelope.code),)
@@ -252,8 +252,9 @@
         owner = None
     is_opening = state.format.flags(datagram) & _SYN
     if owner is not None:
-        # Another choice stands; a second one would lose the first's answer.
-        return () if is_opening else _forward_again(state, owner, event)
+        # The flow has another owner by now.  Offering the packet to a further
+        # agent would lose the answer of that owner.
+        return () if is_opening else _forward_denied(state, owner, event)
     if is_opening:
         hop = event.envelope.hop + 1
         room_ms = event.envelope.left_ms
@@ -262,7 +263,8 @@
     search = state.searches.setdefault(key, Search(event.now))
     search.missed.add(view.host)
     if not search.questions and serves_route(view, route):
-        # The packet that its owner gave back was the question.
+        # The packet had been forwarded to the cached owner, which returned it;
+        # that counts as the first query.
         search.questions = 1
     search.may_lack_entries |= event.stamp.may_lack_entries
     if search.pending not in {None, view.host}:
@@ -271,12 +273,12 @@
     return continue_search(state, route, key, datagram, event.now)
 
 
-def _change_catalog(state: PacketState, event: CatalogChanged) -> Effects:
+def _handle_catalog(state: PacketState, event: CatalogChanged) -> Effects:
     effects = change_catalog(state, event.catalog, event.now)
-    waiting = take_parked(state, event.now) if state.has_catalog else ()
-    routed = tuple(
+    parked = take_parked(state, event.now) if state.has_catalog else ()
+    parked_effects = tuple(
         effect
-        for key, datagram in waiting
+        for key, datagram in parked
         for effect in _route_packet(state, key, datagram, event.now)
     )
     return (
@@ -284,18 +286,18 @@
         *greet_agents(state, event.now),
         *resume_parked(state, event.now),
         *resume_kept(state, event.now),
-        *routed,
+        *parked_effects,
     )
 
 
-def _note_store(state: PacketState, event: StoreSeen) -> Effects:
+def _handle_store_polled(state: PacketState, event: StoreSeen) -> Effects:
     state.confirmed_revision = max(state.confirmed_revision, event.revision)
     state.latest_change = max(state.latest_change, event.latest_change)
     state.reaches_store = event.reaches_store
     return resume_parked(state, event.now)
 
 
-def _note_balancer(state: PacketState, event: StampHeard) -> Effects:
+def _handle_peer_stamp(state: PacketState, event: StampHeard) -> Effects:
     state.note_stamp(event.stamp)
     return ask_balancer(state, event.sender, event.now)
 
@@ -305,23 +307,23 @@
     state.owners.expire(now)
     state.ages.expire(now)
     state.placing.spans.expire(now)
-    given_up = expire_searches(state, now)
+    expired = expire_searches(state, now)
     forget_gone(state, now)
     forget_unlisted(state, now)
     forget_ejections(state)
     forget_former_routes(state, now)
-    waits = state.is_newly_informed(now) or state.is_after_gap(now)
-    kept = () if waits else resume_kept(state, now)
+    awaits_entries = state.is_newly_informed(now) or state.is_after_gap(now)
+    resumed = () if awaits_entries else resume_kept(state, now)
     return (
         *tell_refused(state, now),
-        *given_up,
-        *kept,
+        *expired,
+        *resumed,
         *pass_over_silent(state, now),
         *greet_agents(state, now),
     )
 
 
-#: Of messages that balancers send each other.
+#: Handlers of messages that balancers send each other.
 _BALANCER_HANDLERS: Final[
     Mapping[int, Callable[[PacketState, EnvelopeArrived], Effects]]
 ] = MappingProxyType({
@@ -330,27 +332,28 @@
     int(EnvelopeKind.SERVED_TOLD): take_served,
 })
 
+#: Handlers of messages from agents.
 _ENVELOPE_HANDLERS: Final[
     Mapping[
         int,
         Callable[[PacketState, EnvelopeArrived, AgentView], Effects],
     ]
 ] = MappingProxyType({
-    int(EnvelopeKind.REPORT): _take_report,
-    int(EnvelopeKind.OWNED): _take_owned,
-    int(EnvelopeKind.MISS): _take_miss,
-    int(EnvelopeKind.ASK): _greet_agent,
-    int(EnvelopeKind.FOUND): _take_found,
-    int(EnvelopeKind.COVERED): _take_covered,
+    int(EnvelopeKind.REPORT): _handle_report,
+    int(EnvelopeKind.OWNED): _handle_owned,
+    int(EnvelopeKind.MISS): _handle_miss,
+    int(EnvelopeKind.ASK): _send_notice,
+    int(EnvelopeKind.FOUND): _handle_found,
+    int(EnvelopeKind.COVERED): _handle_covered,
 })
 
 _HANDLERS: Final[Mapping[type, Callable[[PacketState, Any], Effects]]] = (
     MappingProxyType({
-        CallerPacket: _take_caller_packet,
-        EnvelopeArrived: _take_envelope,
-        CatalogChanged: _change_catalog,
-        StampHeard: _note_balancer,
-        StoreSeen: _note_store,
+        CallerPacket: _handle_caller_packet,
+        EnvelopeArrived: _handle_envelope,
+        CatalogChanged: _handle_catalog,
+        StampHeard: _handle_peer_stamp,
+        StoreSeen: _handle_store_polled,
         TimerFired: _handle_timer,
     })
 )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
@@ -1,4 +1,4 @@
-"""State of a packet balancer; its reducer alone changes it, in place."""
+"""State of a packet balancer; only its reducer modifies it, in place."""
 
 from collections.abc import Iterator
 from typing import Any, Final, NamedTuple
@@ -30,18 +30,18 @@
 )
 
 _MICROSECONDS: Final = 1000000
-_SEEDS: Final = 0x100000000
+_SEED_RANGE: Final = 0x100000000
 
 
 class FormerRoute(NamedTuple):
-    """A route that the operators dropped."""
+    """A route that the operators removed; its open flows continue."""
 
     route: PacketRoute
     dropped_at: float
 
 
 def make_owners(now: float) -> Generations[AgentView]:
-    """Return a table of which agent holds a flow; a hint that may be wrong."""
+    """Return a cache of flow owners, whose entries may be out of date."""
     return Generations(
         defaults.FLOW_GENERATION_SECONDS,
         defaults.MAX_FLOWS,
@@ -50,50 +50,52 @@
 
 
 class GreetingRound:
-    """Whom to greet next, where there are too many to greet at once."""
+    """Order in which to poll agents that are too many to poll at once."""
 
     __slots__ = ('left', 'near_agents', 'seed')
 
     def __init__(self, now: float) -> None:
         """Start before the first round."""
         self.left: Iterator[AgentView] = iter(())
-        #: How many agents are in the own availability zone.
+        #: Number of agents in the balancer's own availability zone.
         self.near_agents = 0
-        #: Differs from balancer to balancer: none starts at the same moment.
-        self.seed = int(now * _MICROSECONDS) % _SEEDS
+        #: Seed of the polling order.  It differs between balancers, as no two
+        #: of them start at the same moment.
+        self.seed = int(now * _MICROSECONDS) % _SEED_RANGE
 
 
 class LeftOutDecision(NamedTuple):
-    """Whether ejected upstreams of a large service are left out."""
+    """Cached decision on excluding the ejected upstreams of a large service."""
 
     views: tuple[AgentView, ...]
     at: float
-    #: Whether the others have enough of the slots.
+    #: Whether the other upstreams have a sufficient share of the slots.
     do_others_suffice: bool
 
     def is_valid(self, views: tuple[AgentView, ...], now: float) -> bool:
-        """Return whether it still holds for these upstreams."""
+        """Return whether the decision still applies to these upstreams."""
         is_same = self.views is views
         return is_same and now - self.at < defaults.LEFT_OUT_SECONDS
 
 
 class Ejections:
-    """The upstreams that fail requests, as their agents say."""
+    """Upstreams that fail requests, as reported by their agents."""
 
     __slots__ = ('decisions', 'out', 'wanting')
 
     def __init__(self) -> None:
-        """Start with none."""
-        #: Those that are ejected, and since when this is known.
+        """Create a record without ejected upstreams."""
+        #: Ejected upstreams, and since when the ejection is known.
         self.out: dict[AgentView, float] = {}
-        #: Those among them that want to be tried, and since when.
+        #: Ejected upstreams that ask for a trial request, and since when.
         self.wanting: dict[AgentView, float] = {}
-        #: By service; of large services with ejected upstreams.
+        #: Cached decisions by service, for large services with ejected
+        #: upstreams.
         self.decisions: dict[str, LeftOutDecision] = {}
 
 
 class Holders:
-    """Agents to ask for flows that neither catalog nor directory can deny."""
+    """What the catalog in force may lack about the owners of flows."""
 
     __slots__ = (
         'asked',
@@ -105,24 +107,27 @@
     )
 
     def __init__(self) -> None:
-        """Start with none."""
-        #: By host and service: those that the catalog does not list for it.
+        """Create a record without known gaps."""
+        #: Agents that the catalog does not list for a service that they may
+        #: serve, by host and service.
         self.unlisted: dict[tuple[str, str], AgentView] = {}
-        #: Those for which directory nodes do not speak, by route, nodes and
-        #: number of denials.
+        #: Cache of the agents that directory nodes do not cover, by the shares
+        #: of the route, the digests of the nodes and the required number of
+        #: denials.
         self.unspoken: dict[tuple[Any, ...], tuple[AgentView, ...]] = {}
-        #: Revision of the first catalog: what came before is not known here.
+        #: Revision of the first catalog; earlier changes are not known here.
         self.first_revision = 0
-        #: When each other balancer was asked last what it lists.
+        #: When each other balancer was last queried for the hosts it lists.
         self.asked: dict[str, float] = {}
-        #: Balancers that were told, and the first revision of each.
+        #: Balancers whose query was answered, with their first revision.
         self.told: dict[str, int] = {}
-        #: When a catalog came that does not tell what it missed.
+        #: When a catalog came into force that may not report all entries which
+        #: were written and lapsed since the catalog before it.
         self.gap_at = float('-inf')
 
 
 class PacketState:
-    """All that a packet balancer holds."""
+    """Complete state of a packet balancer."""
 
     def __init__(
         self,
@@ -131,20 +136,20 @@
         now: float,
         features: Features = NO_FEATURES,
     ) -> None:
-        """Start without a catalog."""
+        """Create the state of a balancer that has no catalog yet."""
         self.format = packet_format
         self.features = features
         self.availability_zone = availability_zone
         self.catalog = NO_CATALOG
         self.routes: dict[bytes, PacketRoute] = {}
-        #: Routes that an earlier version had; their open flows go on.
+        #: Routes of earlier versions, whose open flows continue.
         self.former_routes: dict[bytes, FormerRoute] = {}
-        #: Those whose entry went stay for a while.
+        #: Agents stay here for a while after their entry is missing.
         self.agents: dict[UpstreamIdentity, AgentView] = {}
-        #: By the agent's host; the latest upstream there.
+        #: The agent of the latest upstream on each host.
         self.by_host: dict[str, AgentView] = {}
         self.by_service: dict[str, tuple[AgentView, ...]] = {}
-        #: Those whose entry went.
+        #: Upstreams in ``agents`` whose entry is missing.
         self.gone: set[UpstreamIdentity] = set()
         self.greeting = GreetingRound(now)
         self.owners = make_owners(now)
@@ -152,16 +157,16 @@
         self.placing: PlacingMemory[AgentView] = PlacingMemory()
         self.searches: dict[bytes, Search] = {}
         self.ejections = Ejections()
-        #: By service; of large services only.
+        #: Flow directories by service, for large services only.
         self.directories: dict[str, FlowDirectory] = {}
-        #: By the directory node's host.
+        #: Directory nodes by host.
         self.nodes: dict[str, NodeView] = {}
         self.holders = Holders()
-        #: Latest packet of each flow that came before the first catalog.
+        #: Latest packet of each flow that cannot be served yet, by flow key.
         self.parked: dict[bytes, bytes] = {}
         #: Revision up to which the catalog in force is complete.
         self.confirmed_revision = 0
-        #: Latest change of the store that anybody told of.
+        #: Revision of the latest store change known from any process.
         self.latest_change = 0
         #: Whether the latest call to the store was answered.
         self.reaches_store = True
@@ -175,11 +180,11 @@
 
     @property
     def is_behind(self) -> bool:
-        """Return whether others know of changes that are not known here."""
+        """Return whether the store has changes that were not read here yet."""
         return self.latest_change > self.confirmed_revision
 
     def is_near(self, view: AgentView) -> bool:
-        """Return whether an agent is in the own availability zone."""
+        """Return whether an agent is in this balancer's availability zone."""
         return view.upstream.availability_zone == self.availability_zone
 
     def is_evacuated(self, view: AgentView) -> bool:
@@ -187,9 +192,10 @@
         return view.upstream.availability_zone in self.catalog.evacuated
 
     def is_newly_informed(self, now: float) -> bool:
-        """Return whether upstreams may live that this process never saw.
+        """Return whether there may be live upstreams never seen here.
 
-        Entries that lapsed with the store away return within GONE_SECONDS.
+        Entries that lapsed while the store was unavailable are renewed within
+        MISSING_ENTRY_SECONDS.
         """
         informed_at = self.informed_at
         if informed_at is None:
@@ -197,7 +203,7 @@
         return now - informed_at < defaults.GONE_SECONDS
 
     def is_after_gap(self, now: float) -> bool:
-        """Return whether entries may have lapsed unread, and be back soon."""
+        """Return whether entries may have lapsed unread and be renewed soon."""
         return now - self.holders.gap_at < defaults.GONE_SECONDS
 
     def is_settling(self, now: float) -> bool:
@@ -208,15 +214,15 @@
         )
 
     def make_stamp(self) -> Stamp:
-        """Return what each envelope to others says of the store."""
+        """Return the stamp on the store that each sent envelope carries."""
         return Stamp(self.latest_change, not self.reaches_store)
 
     def note_stamp(self, stamp: Stamp) -> None:
-        """Take what the sender of an envelope knows."""
+        """Record the latest store change that another process knows of."""
         self.latest_change = max(self.latest_change, stamp.latest_change)
 
     def find_route(self, datagram: bytes) -> PacketRoute | None:
-        """Return the route of an open flow, which may be a former one."""
+        """Return the route of an open flow, which may have been removed."""
         route_key = self.format.route_key(datagram)
         route = self.routes.get(route_key)
         if route is not None:
