--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/forwards.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/forwards.py
@@ -1,4 +1,4 @@
-"""Pass packets of open flows on to the agents that hold them."""
+"""Forward packets of open flows to the agents that hold them."""
 
 from typing import Final
 
@@ -18,10 +18,11 @@
     datagram: bytes,
     hop: int = 0,
 ) -> SendToAgent:
-    """Return the effect that passes a packet on, with its route's terms.
+    """Return the effect that forwards a packet with the terms of its route.
 
-    An agent that started after the flow knows them from here only.  0 says
-    nothing, so an aim is never less than a millisecond.
+    The terms are the priority and the aim.  An agent that started after the
+    flow was opened has no other source for them.  An aim of 0 would mean that
+    it is unknown, so it is at least one millisecond.
     """
     route = state.find_route(datagram) if state.features.scheduling else None
     if route is None:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/greeting.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/greeting.py
@@ -1,9 +1,9 @@
-"""Ask agents for their reports, a bounded number at once.
+"""Poll agents for load reports, a bounded number at a time.
 
-Agents of the own availability zone get most new flows, so their reports come
-at each change.  The others are asked now and then, since octets between
-availability zones cost; they report with their answers once they are offered
-flows.
+Agents of the same availability zone get most new flows, so they are asked to
+report at each change.  Other agents are polled less often, since traffic
+between availability zones costs; once they are offered flows, they report with
+their answers.
 """
 
 from itertools import islice
@@ -23,17 +23,19 @@
 
 
 def greet_agents(state: PacketState, now: float) -> Effects:
-    """Keep the reports of agents coming."""
+    """Request load reports from the agents that are due."""
     if len(state.by_host) > defaults.MAX_GREETED:
-        due = _take_next(state)
+        batch = _next_batch(state)
     else:
-        due = [view for view in state.by_host.values() if view.hello_at <= now]
-    is_alone = state.greeting.near_agents < defaults.MIN_NEAR_AGENTS
+        batch = [
+            view for view in state.by_host.values() if view.hello_at <= now
+        ]
+    is_zone_sparse = state.greeting.near_agents < defaults.MIN_NEAR_AGENTS
     effects = []
-    for view in due:
+    for view in batch:
         view.expect_answer(now)
         notice = make_notice(state, view, now)
-        if is_alone or state.is_near(view):
+        if is_zone_sparse or state.is_near(view):
             view.hello_at = now + defaults.HELLO_SECONDS
             effects.append(view.send(EnvelopeKind.HELLO, notice, REPORT_FORMAT))
         else:
@@ -42,14 +44,15 @@
     return tuple(effects)
 
 
-def _take_next(state: PacketState) -> list[AgentView]:
-    """Return the next few agents, round and round.
+def _next_batch(state: PacketState) -> list[AgentView]:
+    """Return the next agents of the round; begin a new one if none are left.
 
-    Each balancer has an order of its own.  Balancers that start together and
-    share an order greet each agent at the same moment, once in many seconds.
+    Each balancer has its own order.  Balancers that start together and share
+    an order would poll each agent at the same moment, and then not again for
+    many seconds.
     """
-    due = list(islice(state.greeting.left, defaults.GREETINGS_AT_ONCE))
-    if not due:
+    batch = list(islice(state.greeting.left, defaults.GREETINGS_AT_ONCE))
+    if not batch:
         seed = state.greeting.seed
         state.greeting.left = iter(
             sorted(
@@ -57,4 +60,4 @@
                 key=lambda view: xxh3_64_intdigest(view.host.encode(), seed),
             )
         )
-    return due
+    return batch
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/openings.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/openings.py
@@ -1,4 +1,4 @@
-"""Take the first packet of a flow to an agent, or refuse it."""
+"""Place a new flow: offer its first packet to an agent, or refuse the flow."""
 
 from typing import Final, NamedTuple
 
@@ -39,9 +39,10 @@
     route: PacketRoute
     datagram: bytes
     now: float
-    #: How many agents were asked before.
+    #: How many agents the packet was offered to before.
     hop: int
-    #: Milliseconds until the agent asked last has room, if it lacks time.
+    #: Milliseconds until the agent that declined last could start the request,
+    #: if it declined for lack of time; else 0.
     room_ms: int = 0
 
 
@@ -51,7 +52,7 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
-    """Offer a new flow to an agent, or a copy of its packet to the same."""
+    """Offer a new flow to an agent; offer copies of its packet to the same."""
     effects = _open_flow(state, key, datagram, now)
     state.ages.note_passed(key, now)
     return effects
@@ -72,19 +73,19 @@
         return SendReset(datagram), Decided('reset_unknown_route', fields)
     owner = state.owners.get(key)
     opening = Opening(key, route, datagram, now, 0)
-    if owner is not None and _keeps_choice(state, owner, now):
+    if owner is not None and _is_choice_valid(state, owner, now):
         return _offer(state, owner, opening)
     if owner is None:
         return _place_new(state, opening)
     silent: tuple[str, ...] = (owner.host,)
     if choose_taker(state, route, key, now, silent) is None:
-        # It may only be starting anew, and nobody else is there to ask.
+        # There is no other agent, and this one may only be restarting.
         silent = ()
     return _place(state, opening, silent)
 
 
 def _place_new(state: PacketState, opening: Opening) -> Effects:
-    """Offer a flow that was not seen before, unless its caller had enough."""
+    """Offer a flow not seen before, unless its caller exceeds its share."""
     if not state.features.admission:
         return _place(state, opening, ())
     route = opening.route
@@ -98,10 +99,10 @@
 
 
 def _may_reset(state: PacketState, opening: Opening) -> bool:
-    """Return whether a flow is surely not open elsewhere.
+    """Return whether a flow is known not to be open elsewhere.
 
-    A copy of its first packet may come after another balancer offered it, and
-    the answer be on its way.
+    A copy of the first packet may arrive after another balancer offered the
+    flow, while the answer is on its way.
     """
     is_copy = state.format.copies(opening.datagram) > 0
     return not is_copy or state.ages.was_refused(opening.key)
@@ -112,7 +113,7 @@
     opening: Opening,
     excess: Excess,
 ) -> Effects:
-    """Reset a new flow in favour of callers that got less."""
+    """Reset a new flow in favour of callers that received a smaller share."""
     copies = state.format.copies(opening.datagram)
     state.ages.note_opening(opening.key, copies, opening.now)
     fields = {
@@ -129,8 +130,8 @@
     )
 
 
-def _keeps_choice(state: PacketState, owner: AgentView, now: float) -> bool:
-    """Return whether a copy of an opening packet goes the same way."""
+def _is_choice_valid(state: PacketState, owner: AgentView, now: float) -> bool:
+    """Return whether copies of an opening packet go to the same agent."""
     is_there = owner.gone_since is None and not owner.is_quiet(now)
     return is_there and not state.is_evacuated(owner)
 
@@ -142,62 +143,64 @@
 ) -> Effects:
     key = opening.key
     state.placing.waits = None
-    taker = _choose_trial(state, opening)
-    if taker is None:
-        taker = choose_taker(state, opening.route, key, opening.now, excluded)
-        taker = taker or _choose_again(state, opening)
-        if taker is None:
+    agent = _choose_trial(state, opening)
+    if agent is None:
+        agent = choose_taker(state, opening.route, key, opening.now, excluded)
+        agent = agent or _retry_ejected(state, opening)
+        if agent is None:
             return _refuse(state, opening)
-        if taker in state.ejections.out:
-            # Nobody better is there, which its agent does not know.
+        if agent in state.ejections.out:
+            # No better upstream is available.  FORCED_ACCEPT_HOP tells this to
+            # the agent, which would decline the flow otherwise.
             hop = max(opening.hop, defaults.FORCED_HOP)
             opening = opening._replace(hop=hop)
-    state.owners.put(key, taker)
-    taker.picks += 1
-    told = note_placement(state, taker, opening.route, key, opening.now)
-    return (*_offer(state, taker, opening), *told)
+    state.owners.put(key, agent)
+    agent.picks += 1
+    logged = note_placement(state, agent, opening.route, key, opening.now)
+    return (*_offer(state, agent, opening), *logged)
 
 
 def _choose_trial(state: PacketState, opening: Opening) -> AgentView | None:
-    """Return an ejected upstream that a flow tries, before any other."""
+    """Return an ejected upstream for which this flow serves as a trial."""
     if opening.hop or not state.ejections.wanting:
         return None
     service = choose_service(opening.route, opening.key)
     return choose_trial(state, opening.route, service, opening.now)
 
 
-def _choose_again(state: PacketState, opening: Opening) -> AgentView | None:
-    """Return an agent that gave a flow back only as it is ejected."""
+def _retry_ejected(state: PacketState, opening: Opening) -> AgentView | None:
+    """Return an agent that declined a flow only because it is ejected."""
     search = state.searches.get(opening.key)
     if search is None or not search.ejected:
         return None
-    taker = choose_taker(
+    agent = choose_taker(
         state,
         opening.route,
         opening.key,
         opening.now,
         search.gave_back - search.ejected,
     )
-    if taker is not None:
-        search.ejected.discard(taker.host)
-    return taker
+    if agent is not None:
+        search.ejected.discard(agent.host)
+    return agent
 
 
 def _refuse(state: PacketState, opening: Opening) -> Effects:
-    """Reset a new flow that nobody takes; it has not run.
-
-    While programs return after an outage the first upstream may be a moment
-    away; three tries of a caller are over within half a second.  Where all
-    upstreams are out of service there is nothing to wait for.  An agent may
-    give a flow back late, when a copy of its packet has opened it elsewhere:
-    then nothing is told, and the caller's next copy is offered anew.
+    """Reset a new flow that no agent accepts; its request has not run.
+
+    While processes return after an outage, the packet is parked instead: the
+    first upstream may be about to start, and the three tries of a caller are
+    over within half a second.  Where all upstreams are out of service there is
+    nothing to wait for.  An agent may return a packet late, when a copy of it
+    has opened the flow elsewhere: the flow is not reset then, and the next copy
+    from the caller is offered again.
     """
     key = opening.key
-    may_come = state.is_settling(opening.now) and not _is_all_evacuated(
+    may_appear = state.is_settling(opening.now) and not _is_all_evacuated(
         state,
         opening,
     )
-    if not opening.hop and may_come:
+    if not opening.hop and may_appear:
         return park(state, key, opening.datagram, opening.now)
     state.searches.pop(key, None)
     state.owners.forget(key)
@@ -215,7 +218,10 @@
 
 
 def _is_all_evacuated(state: PacketState, opening: Opening) -> bool:
-    """Return whether a service has upstreams, all of them out of service."""
+    """Return whether all upstreams of a service are out of service.
+
+    Returns False for a service without upstreams.
+    """
     service = choose_service(opening.route, opening.key)
     views = state.by_service.get(service, ())
     return bool(views) and all(map(state.is_evacuated, views))
@@ -223,22 +229,22 @@
 
 def _offer(
     state: PacketState,
-    taker: AgentView,
+    agent: AgentView,
     opening: Opening,
 ) -> Effects:
     now = opening.now
-    taker.expect_answer(now)
+    agent.expect_answer(now)
     copies = state.format.copies(opening.datagram)
     route = opening.route
     waited = state.ages.note_opening(opening.key, copies, now)
-    left = route.aim_seconds - waited.on_request
+    remaining_seconds = route.aim_seconds - waited.on_request
     wait = make_wait(route, waited, is_first_try=not state.is_settling(now))
-    offer = taker.send(
-        choose_kind(state, taker, route),
+    offer = agent.send(
+        choose_kind(state, agent, route),
         opening.datagram,
         opening.hop,
         route.priority,
-        round(left * _MILLISECONDS),
+        round(remaining_seconds * _MILLISECONDS),
         wait,
     )
     return (offer,)
@@ -249,7 +255,7 @@
     opening: Opening,
     view: AgentView,
 ) -> Effects:
-    """Offer a flow that its first choice did not take to the next."""
+    """Offer a flow to another agent after one declined it."""
     search = state.searches.setdefault(opening.key, Search(opening.now))
     search.gave_back.add(view.host)
     if opening.hop <= defaults.FORCED_HOP and view in state.ejections.out:
@@ -265,15 +271,15 @@
     opening: Opening,
     search: Search,
 ) -> Effects:
-    """Offer a flow to another agent, or reset it if none may have room."""
+    """Offer a flow to another agent, or reset it if none may have capacity."""
     key = opening.key
     route = opening.route
     full = list_full(state, route, key, opening.now)
     excluded = tuple(search.gave_back)
     if has_asked_enough(search):
         excluded = tuple(full | search.gave_back)
-    taker = choose_taker(state, route, key, opening.now, excluded)
-    if taker is not None and opening.hop < defaults.MAX_ASKED_FOR_ROOM:
+    agent = choose_taker(state, route, key, opening.now, excluded)
+    if agent is not None and opening.hop < defaults.MAX_ASKED_FOR_ROOM:
         return _place(state, opening, excluded)
     state.searches.pop(key, None)
     state.owners.forget(key)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/parking.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/parking.py
@@ -1,9 +1,9 @@
-"""Packets that came before the first catalog, or before the first upstream.
+"""Buffer for packets that arrive before the first catalog or upstream.
 
-After a power failure of everything the store may stay silent for a while,
-and callers repeat an opening packet only twice.  Without its packet a caller
-is heard again when it begins its next try, up to 0.8 s later, and has that
-much less time for an answer.
+After a complete power failure the store may not answer for a while, and callers
+repeat an opening packet only twice.  If its packets were dropped, a caller
+would be served only with its next try, up to 0.8 s later, and have that much
+less time for an answer.
 """
 
 from keelgap.packets.formats import Flags
@@ -20,12 +20,12 @@
     datagram: bytes,
     now: float,
 ) -> tuple[Decided, ...]:
-    """Keep the latest packet of a flow until the catalog changes."""
+    """Buffer the latest packet of a flow until the catalog changes."""
     if key not in state.parked and len(state.parked) >= defaults.MAX_PARKED:
         return (Decided('parking_full'),)
     state.parked[key] = datagram
     if _is_opening(state, datagram):
-        # Its age counts from now on, not from when it is routed.
+        # The age of the opening counts from now, not from when it is routed.
         state.ages.note_opening(key, state.format.copies(datagram), now)
     return (Decided('parked'),)
 
@@ -34,7 +34,10 @@
     state: PacketState,
     now: float,
 ) -> list[tuple[bytes, bytes]]:
-    """Return flow keys and packets of all callers that still wait."""
+    """Empty the buffer; return flow keys and packets of waiting callers.
+
+    Opening packets whose caller has given up are left out.
+    """
     parked = state.parked
     state.parked = {}
     return [
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/refusals.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/refusals.py
@@ -1,4 +1,4 @@
-"""What follows a refusal: the caller may come back, to any balancer."""
+"""Share refusals between balancers, as a caller may retry at any of them."""
 
 from keelgap.catalog.models import PacketRoute
 from keelgap.packets.envelopes import EnvelopeKind
@@ -28,26 +28,29 @@
     key: bytes,
     now: float,
 ) -> Effects:
-    """Expect a refused caller again, here and at the other balancers."""
+    """Expect a retry of a refused caller, here or at another balancer."""
     state.ages.note_refusal(key, now)
-    counted = Decided(f'refused_priority_{route.priority}')
-    return counted, *tell_refused(state, now)
+    counter = Decided(f'refused_priority_{route.priority}')
+    return counter, *tell_refused(state, now)
 
 
 def tell_refused(state: PacketState, now: float) -> Effects:
-    """Tell the other balancers of refused callers, some at a time."""
+    """Send refused callers to the other balancers, in batches.
+
+    Callers beyond two batches are dropped.
+    """
     ages = state.ages
-    is_early = now - ages.told_at < defaults.REFUSED_PAUSE_SECONDS
-    if not ages.untold or is_early:
+    is_too_soon = now - ages.told_at < defaults.REFUSED_PAUSE_SECONDS
+    if not ages.untold or is_too_soon:
         return ()
     ages.told_at = now
-    told = ages.untold[:MAX_REFUSED]
+    batch = ages.untold[:MAX_REFUSED]
     ages.untold = ages.untold[MAX_REFUSED : 2 * MAX_REFUSED]
-    return (TellBalancers(EnvelopeKind.REFUSED, pack_refused(told)),)
+    return (TellBalancers(EnvelopeKind.REFUSED, pack_refused(batch)),)
 
 
 def take_refused(state: PacketState, event: EnvelopeArrived) -> Effects:
-    """Expect callers again that another balancer refused."""
+    """Expect retries of callers that another balancer refused."""
     try:
         callers = unpack_refused(event.envelope.content)
     except MalformedEnvelope as error:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/shares.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/shares.py
@@ -1,15 +1,16 @@
-"""Equal shares for callers while there is too little room.
-
-A caller is an address.  What counts is what it got lately, not what it asked
-for: its flows that were not refused.  While agents refuse flows for want of
-room, each priority of a service has a level, and who got more than that is
-refused before others.  The level falls while callers below it are refused and
-rises while they are taken, as max-min fairness asks, so nobody gets more by
-asking more often, and who was refused goes first when it tries again.
-
-Each balancer sees the flows that the routers lead to it, about the same part
-of each caller's, and keeps levels of its own: the sums of several balancers
-are in the same proportion.
+"""Max-min fair shares for callers under overload.
+
+A caller is identified by its address.  Its usage is the number of its recent
+flows that were not refused; refused flows do not count.  While agents refuse
+flows for lack of capacity, each priority of a service has a level, and callers
+whose usage exceeds it are refused before others.  The level falls while callers
+below it are refused and rises while they are accepted, as max-min fairness
+requires.  So no caller gains by sending more requests, and a caller that was
+refused goes first when it tries again.
+
+Each balancer sees the flows that the routers send to it, which are about the
+same fraction of the flows of each caller, and keeps its own levels.  The sums
+over several balancers are in the same proportion.
 """
 
 from typing import Final, NamedTuple
@@ -19,44 +20,44 @@
 
 __all__ = ('CallerShares', 'Queue')
 
-_FEWEST: Final = 1.0
+_MIN_FLOWS: Final = 1.0
 
 
 class Queue(NamedTuple):
-    """Flows that compete as equals."""
+    """Flows of one service and priority, which compete as equals."""
 
     service: str
     priority: int
 
 
-class _Level:
-    """How many recent flows of a caller there is room for."""
+class _FairLevel:
+    """Number of recent flows that each caller may have."""
 
     __slots__ = ('flows', 'pressed_at', 'raised_at')
 
     def __init__(self) -> None:
-        """Start without pressure."""
+        """Create a level without pressure."""
         self.flows: float = 0
         self.pressed_at = float('-inf')
         self.raised_at = float('-inf')
 
-    def is_pressed(self, now: float) -> bool:
-        """Return whether flows were refused a moment ago."""
+    def is_under_pressure(self, now: float) -> bool:
+        """Return whether flows were refused within PRESSURE_SECONDS."""
         return now - self.pressed_at < defaults.PRESSED_SECONDS
 
 
 class CallerShares:
-    """What each caller got lately, in a table of bounded size."""
+    """Recent flows of each caller, in a table of bounded size."""
 
     def __init__(self) -> None:
-        """Start empty."""
-        #: By queue and the caller's host, those longest silent first.
+        """Create an empty table."""
+        #: By queue and host of the caller, least recently active first.
         self.counts: dict[tuple[Queue, bytes], DecayingCount] = {}
         #: By queue.
-        self.levels: dict[Queue, _Level] = {}
+        self.levels: dict[Queue, _FairLevel] = {}
 
     def note_offered(self, queue: Queue, host: bytes, now: float) -> None:
-        """Count a flow that agents are asked to take."""
+        """Count a flow that is offered to agents."""
         key = (queue, host)
         count = self.counts.pop(key, None)
         if count is None:
@@ -70,21 +71,25 @@
         self.counts[key] = count
 
     def note_refused(self, queue: Queue, host: bytes, now: float) -> None:
-        """Take back a flow that was offered; lower a level that has no room."""
+        """Uncount a refused flow, and lower the level if it is too high.
+
+        The level is too high if a caller below it was refused.
+        """
         count = self.counts.get((queue, host))
         if count is not None:
             count.add(now, -1)
-        level = self.levels.setdefault(queue, _Level())
-        if not level.is_pressed(now):
+        level = self.levels.setdefault(queue, _FairLevel())
+        if not level.is_under_pressure(now):
             level.flows = defaults.LEVEL_START * self._get_mean(queue, now)
         if self.read(queue, host, now) < level.flows:
             level.pressed_at = now
-            level.flows = max(level.flows * defaults.LEVEL_FALL, _FEWEST)
+            level.flows = max(level.flows * defaults.LEVEL_FALL, _MIN_FLOWS)
 
     def note_idle(self, queue: Queue, now: float) -> None:
-        """Raise a level that leaves an upstream without work.
+        """Raise a level that leaves upstream capacity unused.
 
-        Not with each flow that comes: many come from those who press.
+        The level is raised at intervals and not with each flow, as callers with
+        many requests would raise it too fast.
         """
         level = self.levels[queue]
         if now - level.raised_at >= defaults.LEVEL_PAUSE_SECONDS:
@@ -94,12 +99,12 @@
     def get_level(self, queue: Queue, now: float) -> float | None:
         """Return the level of a queue; None without pressure."""
         level = self.levels.get(queue)
-        if level is None or not level.is_pressed(now):
+        if level is None or not level.is_under_pressure(now):
             return None
         return level.flows
 
     def read(self, queue: Queue, host: bytes, now: float) -> float:
-        """Return how much a caller got lately."""
+        """Return the recent usage of a caller."""
         count = self.counts.get((queue, host))
         return 0 if count is None else count.read(now)
 
@@ -109,4 +114,4 @@
             for (other, _), count in self.counts.items()
             if other == queue
         ]
-        return sum(counts) / len(counts) if counts else _FEWEST
+        return sum(counts) / len(counts) if counts else _MIN_FLOWS
