--- a/experiments/directory_model.py
+++ b/experiments/directory_model.py
@@ -85,7 +85,7 @@
             for row in rows
         }
         for agent in self.agents.values():
-            agent.registrar.is_older = self.agents_start_first
+            agent.registrar.predates_upstream = self.agents_start_first
         self.held = {host: set() for host in self.agents}
         self.catalog = make_catalog(self.generation, rows)
         self.move_flows()
--- a/experiments/placing_model.py
+++ b/experiments/placing_model.py
@@ -30,8 +30,8 @@
     pack_report,
 )
 from keelgap.packets.features import Features
-from keelgap_agent.packets.defaults import ANSWER_WEIGHT
-from keelgap_agent.packets.pace import Pace
+from keelgap_agent.packets.defaults import ANSWER_TIME_WEIGHT
+from keelgap_agent.packets.pace import ServiceTimeEstimator
 from keelgap_balancer.packets.effects import SendToAgent
 from keelgap_balancer.packets.events import (
     CallerPacket,
@@ -107,7 +107,7 @@
         self.running = 0
         self.flows = 0
         self.worked: float = 0
-        self.pace = Pace()
+        self.pace = ServiceTimeEstimator()
         self.answer_seconds: float = 0
         self.owed: set[int] = set()
         self.told: tuple[LoadReport, float] | None = None
@@ -224,8 +224,8 @@
         taken = self.now - request.came
         self.late[request.zone] += taken > self.pattern.aim_seconds
         self.taken.append(taken)
-        upstream.pace.note(taken, request.before, self.pattern.slots)
-        weight = ANSWER_WEIGHT if upstream.answer_seconds else 1
+        upstream.pace.record(taken, request.before, self.pattern.slots)
+        weight = ANSWER_TIME_WEIGHT if upstream.answer_seconds else 1
         upstream.answer_seconds += weight * (taken - upstream.answer_seconds)
         self._start(upstream)
         request.done(taken)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
@@ -28,13 +28,13 @@
     Decided,
 )
 from keelgap_agent.packets.events import EnvelopeArrived
-from keelgap_agent.packets.flows import Flow, Held
+from keelgap_agent.packets.flows import Flow, QueuedRequest
 from keelgap_agent.packets.outcomes.giving_up import give_up_ready
-from keelgap_agent.packets.outcomes.judging import note_opening, note_work
+from keelgap_agent.packets.outcomes.judging import record_opening, record_work
 from keelgap_agent.packets.outcomes.refusing import refuse_ejected
 from keelgap_agent.packets.refusals import find_refusal
-from keelgap_agent.packets.registration import register
-from keelgap_agent.packets.request_log import note_request
+from keelgap_agent.packets.registration import register_flow
+from keelgap_agent.packets.request_log import log_request_started
 from keelgap_agent.packets.room import (
     NO_TIME,
     choose_under_pressure,
@@ -50,25 +50,25 @@
 
 __all__ = (
     'release_all',
-    'release_held',
+    'release_queued',
     'release_request',
-    'take_opening',
-    'take_waiting',
+    'admit_opening',
+    'handle_queued_packet',
 )
 
 Effects = tuple[AgentEffect, ...]
 _MILLISECONDS: Final = 1000
 
 
-def take_opening(
+def admit_opening(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
     """Forward the opening packet of a flow, or return it to its balancer."""
     now = event.now
-    state.balancers.owed.add(event.sender)
-    state.note_opening(now)
+    state.balancers.reports_due.add(event.sender)
+    state.record_opening(now)
     envelope = event.envelope
     if envelope.slots:
         state.slots = envelope.slots
@@ -83,14 +83,14 @@
     if state.features.scheduling:
         flow.terms = read_opening(envelope)
     state.flows[key] = flow
-    state.held[key] = request
-    note_opening(state, key, event)
-    state.cold.note_passed(now)
-    forwarded = state.pass_on(event.sender, envelope)
-    return (*register(state, key, flow, now), forwarded)
+    state.queued[key] = request
+    record_opening(state, key, event)
+    state.warm_up_limiter.record_flow(now)
+    forwarded = state.forward_to_upstream(event.sender, envelope)
+    return (*register_flow(state, key, flow, now), forwarded)
 
 
-def take_waiting(
+def handle_queued_packet(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
@@ -99,42 +99,42 @@
     envelope = event.envelope
     datagram = envelope.content
     if envelope.kind in OPENING_KINDS:
-        return (state.pass_on(event.sender, envelope),)
+        return (state.forward_to_upstream(event.sender, envelope),)
     owned: Effects = ()
     if envelope.kind == EnvelopeKind.SEARCH:
         owned = (state.send(event.sender, EnvelopeKind.OWNED, key),)
-    request = state.held[key]
+    request = state.queued[key]
     if state.format.flags(datagram) & ENDS_FLOW:
-        state.held.pop(key)
+        state.queued.pop(key)
         state.flows[key].ended = True
         state.outcomes.forget(key)
         left = Decided(
             'left_waiting',
             _describe(state, key, request, event.now),
         )
-        return (*owned, state.pass_on(event.sender, envelope), left)
+        return (*owned, state.forward_to_upstream(event.sender, envelope), left)
     if not state.format.data_length(datagram):
         return owned
     is_first = not request.packets
-    if len(request.packets) < defaults.MAX_HELD_PACKETS:
+    if len(request.packets) < defaults.MAX_QUEUED_PACKETS:
         request.packets[state.format.sequence(datagram)] = event
     abandoned = give_up_ready(state, key, event.now)
     if abandoned:
         return (*owned, *abandoned)
-    released = release_held(state, event.now)
-    if is_first and key in state.held:
+    released = release_queued(state, event.now)
+    if is_first and key in state.queued:
         fields = _describe(state, key, request, event.now)
         released = (*released, Decided('held', fields))
     return (*owned, *released)
 
 
-def release_held(state: AgentState, now: float) -> Effects:
+def release_queued(state: AgentState, now: float) -> Effects:
     """Forward queued requests in order of rank while there is capacity."""
     effects: list[AgentEffect] = list(_drop_expired(state, now))
     while has_room(state, now):
         ready = [
             key
-            for key, request in state.held.items()
+            for key, request in state.queued.items()
             if request.packets and not state.outcomes.would_lose(key)
         ]
         if not ready:
@@ -148,7 +148,7 @@
     """Forward all queued requests, before this process stops."""
     return tuple(
         effect
-        for key in tuple(state.held)
+        for key in tuple(state.queued)
         for effect in _release(state, key, now)
     )
 
@@ -159,31 +159,33 @@
 
 
 def _release(state: AgentState, key: bytes, now: float) -> Effects:
-    request = state.held.pop(key)
+    request = state.queued.pop(key)
     flow = state.flows[key]
     effects: list[AgentEffect] = []
-    for sequence in flow.sort(request.packets):
+    for sequence in flow.sort_sequences(request.packets):
         event = request.packets[sequence]
         datagram = event.envelope.content
-        state.note_data(flow, sequence, now)
-        note_work(state, key, flow, datagram, now)
-        effects.append(state.pass_on(event.sender, event.envelope))
-        effects.extend(note_request(state, key, flow, datagram, now))
+        state.record_data(flow, sequence, now)
+        record_work(state, key, flow, datagram, now)
+        effects.append(state.forward_to_upstream(event.sender, event.envelope))
+        effects.extend(log_request_started(state, key, flow, datagram, now))
     return (*effects, *observe_wait(state, request, now))
 
 
-def _make_queued_request(state: AgentState, event: EnvelopeArrived) -> Held:
+def _make_queued_request(
+    state: AgentState, event: EnvelopeArrived
+) -> QueuedRequest:
     wait = event.envelope.wait
     now = event.now
     asked_at = now - wait.age_ms / _MILLISECONDS
     left = event.envelope.left_ms / _MILLISECONDS
-    return Held(
-        came=now,
+    return QueuedRequest(
+        arrived_at=now,
         priority=event.envelope.priority,
-        in_time=now + left,
-        assured=now + wait.assured_ms / _MILLISECONDS,
-        leaves=now + wait.patience_ms / _MILLISECONDS,
-        is_from_outage=asked_at < state.resumed_at + OPENING_SECONDS,
+        deadline=now + left,
+        earliest_departure=now + wait.assured_ms / _MILLISECONDS,
+        latest_departure=now + wait.patience_ms / _MILLISECONDS,
+        is_from_outage=asked_at < state.traffic_resumed_at + OPENING_SECONDS,
         packets={},
     )
 
@@ -191,10 +193,12 @@
 def _drop_expired(state: AgentState, now: float) -> Effects:
     """Drop the queued requests whose callers must have left by now."""
     expired = [
-        key for key, request in state.held.items() if now >= request.leaves
+        key
+        for key, request in state.queued.items()
+        if now >= request.latest_departure
     ]
     for key in expired:
-        if state.held.pop(key).is_later:
+        if state.queued.pop(key).is_subsequent:
             # The flow is open and stays.  If the caller still waits, it
             # retransmits the request.
             continue
@@ -206,24 +210,24 @@
     state: AgentState,
     event: EnvelopeArrived,
     reason: str,
-    request: Held,
+    request: QueuedRequest,
 ) -> Effects:
     """Return an opening packet to its balancer, and log the reason."""
     envelope = event.envelope
-    room_ms = 0
+    start_ms = 0
     if reason == NO_TIME:
         state.room.note_refused(request.priority, event.now)
-        room_ms = compute_room_ms(state, request, event.now)
-    miss = state.give_back(event.sender, envelope, room_ms)
+        start_ms = compute_room_ms(state, request, event.now)
+    miss = state.return_to_balancer(event.sender, envelope, start_ms)
     fields = {
         'flow': state.format.describe_key(
             state.format.caller_key(envelope.content),
         ),
         'hop': envelope.hop,
         'busy': state.busy,
-        'held': len(state.held),
+        'held': len(state.queued),
         'slots': state.slots,
-        'room_ms': room_ms,
+        'room_ms': start_ms,
     }
     return miss, Decided(reason, fields)
 
@@ -231,16 +235,16 @@
 def _describe(
     state: AgentState,
     key: bytes,
-    request: Held,
+    request: QueuedRequest,
     now: float,
 ) -> dict[str, object]:
     """Return the log fields of a queued request."""
     return {
         'flow': state.format.describe_key(key),
-        'left_ms': round((request.in_time - now) * _MILLISECONDS),
+        'left_ms': round((request.deadline - now) * _MILLISECONDS),
         'from_outage': request.is_from_outage,
         'busy': state.busy,
-        'waiting': len(state.held),
+        'waiting': len(state.queued),
     }
 
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/balancers.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/balancers.py
@@ -22,14 +22,14 @@
         self.hosts: list[str] = []
         self.numbers: dict[str, int] = {}
         #: When each balancer last subscribed to load reports.
-        self.greeted: dict[str, float] = {}
+        self.subscribers: dict[str, float] = {}
         #: The report format that each balancer reads, if it stated one.
         self.report_formats: dict[str, int] = {}
         #: Balancers that offered a flow since the last reports.
-        self.owed: set[str] = set()
+        self.reports_due: set[str] = set()
         #: The last report sent to all subscribers, and its time.
-        self.reported: LoadReport | None = None
-        self.reported_at = now
+        self.last_report: LoadReport | None = None
+        self.last_report_at = now
 
     def make_mark(self, host: str, hop: int, kind: int) -> int:
         """Return the mark that identifies where a packet came from."""
--- a/packages/keelgap-agent/src/keelgap_agent/packets/cold.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/cold.py
@@ -8,10 +8,10 @@
 
 from keelgap_agent.packets import defaults
 
-__all__ = ('ColdBound',)
+__all__ = ('WarmUpLimiter',)
 
 
-class ColdBound:
+class WarmUpLimiter:
     """Sliding-window limit on the new flows of an upstream during warm-up."""
 
     def __init__(self, excess: float, slack: float, now: float) -> None:
@@ -21,28 +21,28 @@
         #: New flows per second that the upstream can take until it is warm; 0
         #: if no rate is configured.
         self.rate: float = 0
-        self.until = float('-inf')
+        self.warm_at = float('-inf')
         #: When new flows were forwarded to the upstream, within one window.
         self.forwarded_at: deque[float] = deque()
         #: Until when flows forwarded by another agent process may count.
         self.unknown_until = float('-inf')
         self.started_at = now
 
-    def note_other_agent(self) -> None:
+    def assume_full_window(self) -> None:
         """Assume that another agent process has filled the present window."""
-        self.unknown_until = self.started_at + defaults.COLD_WINDOW_SECONDS
+        self.unknown_until = self.started_at + defaults.WARM_UP_WINDOW_SECONDS
 
-    def take(self, rate: float, until: float) -> None:
+    def configure(self, rate: float, warm_at: float) -> None:
         """Set the configured rate and the time when the upstream is warm."""
         self.rate = rate
-        self.until = until
+        self.warm_at = warm_at
 
-    def is_full(self, now: float) -> bool:
+    def is_at_limit(self, now: float) -> bool:
         """Return whether the upstream must not get another flow now.
 
         Without a configured rate there is no limit.
         """
-        if not self.rate or now >= self.until:
+        if not self.rate or now >= self.warm_at:
             return False
         if now < self.unknown_until:
             return True
@@ -50,12 +50,12 @@
         limit = int(self.rate * self.excess + self.slack)
         return len(self.forwarded_at) >= limit
 
-    def note_passed(self, now: float) -> None:
+    def record_flow(self, now: float) -> None:
         """Count a new flow that is forwarded to the upstream."""
         self._expire(now)
         self.forwarded_at.append(now)
 
     def _expire(self, now: float) -> None:
-        window_start = now - defaults.COLD_WINDOW_SECONDS
+        window_start = now - defaults.WARM_UP_WINDOW_SECONDS
         while self.forwarded_at and self.forwarded_at[0] <= window_start:
             self.forwarded_at.popleft()
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
@@ -21,21 +21,21 @@
 from keelgap_agent.packets.state import AgentState
 
 __all__ = (
-    'answer_lookup',
-    'ask_lagging',
-    'tell_watchers',
-    'take_registration',
+    'handle_lookup',
+    'request_resyncs',
+    'notify_watchers',
+    'handle_registration',
 )
 
 Effects = tuple[AgentEffect, ...]
 
 
-def take_registration(state: AgentState, event: EnvelopeArrived) -> Effects:
+def handle_registration(state: AgentState, event: EnvelopeArrived) -> Effects:
     """Record which flows another agent owns; raise MalformedEnvelope."""
     registration = unpack_registration(event.envelope.content)
     if event.envelope.service_tag != state.service_tag:
         return (Decided('drop_other_service'),)
-    agent = state.directory.take(event.sender, registration, event.now)
+    agent = state.directory.record(event.sender, registration, event.now)
     if agent is None or agent.former_tag is None:
         return ()
     fields = {
@@ -48,7 +48,7 @@
     return (Decided('agent_restarted', fields),)
 
 
-def answer_lookup(state: AgentState, event: EnvelopeArrived) -> Effects:
+def handle_lookup(state: AgentState, event: EnvelopeArrived) -> Effects:
     """Answer which agents may own flows; raise MalformedEnvelope.
 
     The balancer is also told which agents are covered, unless its digest shows
@@ -62,7 +62,7 @@
     rows = tuple((key, _find_owners(state, key, now)) for key in request.keys)
     content = pack_lookup(Lookup(directory.digest, rows))
     found = state.send(event.sender, EnvelopeKind.FOUND, content)
-    directory.watchers[event.sender] = now + defaults.WATCH_SECONDS
+    directory.watchers[event.sender] = now + defaults.WATCHER_TIMEOUT_SECONDS
     if request.digest == directory.digest:
         return (*updated, found)
     return (*updated, *_send_coverage(state, event.sender), found)
@@ -75,16 +75,16 @@
     )
 
 
-def tell_watchers(state: AgentState, now: float) -> Effects:
+def notify_watchers(state: AgentState, now: float) -> Effects:
     """Notify balancers that wait with verdicts of a changed coverage."""
     directory = state.directory
-    directory.forget_watchers(now)
+    directory.expire_watchers(now)
     if not directory.watchers:
         return ()
     updated = _update_coverage(state, now)
-    if directory.digest == directory.told_digest:
+    if directory.digest == directory.notified_digest:
         return updated
-    directory.told_digest = directory.digest
+    directory.notified_digest = directory.digest
     notified = tuple(
         effect
         for host in directory.watchers
@@ -93,7 +93,7 @@
     return (*updated, *notified)
 
 
-def ask_lagging(state: AgentState, now: float) -> Effects:
+def request_resyncs(state: AgentState, now: float) -> Effects:
     """Request all flows of the agents whose registrations have a gap."""
     return tuple(
         state.send(host, EnvelopeKind.RESYNC, b'')
@@ -104,8 +104,8 @@
 def _update_coverage(state: AgentState, now: float) -> Effects:
     """Update the set of covered agents, and log if it changed."""
     registrar = state.registrar
-    own_host = registrar.own if registrar.is_complete else ''
-    change = state.directory.count_covered(own_host, now)
+    own_host = registrar.own_host if registrar.is_complete else ''
+    change = state.directory.update_coverage(own_host, now)
     if not change.added and not change.removed:
         return ()
     fields = {
@@ -114,7 +114,7 @@
         'removed': len(change.removed),
         'removed_hosts': sorted(change.removed)[:MAX_NAMED],
         'covered': len(state.directory.covered),
-        'members': len(state.directory.members),
+        'members': len(state.directory.agents),
     }
     return (Decided('coverage_changed', fields),)
 
@@ -132,5 +132,5 @@
     flow = state.flows.get(key)
     own_hosts: tuple[str, ...] = ()
     if flow is not None and flow.is_registered:
-        own_hosts = (state.registrar.own,)
-    return own_hosts + state.directory.list_holders(key, now)
+        own_hosts = (state.registrar.own_host,)
+    return own_hosts + state.directory.list_owners(key, now)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
@@ -11,7 +11,7 @@
 from keelgap.packets.generations import Generations
 from keelgap_agent.packets import defaults
 
-__all__ = ('CoverageChange', 'Directory', 'RegisteredAgent')
+__all__ = ('CoverageChange', 'DirectoryNode', 'RegisteredAgent')
 
 
 class CoverageChange(NamedTuple):
@@ -68,7 +68,7 @@
         """Return whether no registration of the stream is missing."""
         return self.next_expected >= self.end
 
-    def take(self, registration: Registration, now: float) -> None:
+    def record(self, registration: Registration, now: float) -> None:
         """Record which registrations of the stream have arrived."""
         if registration.stream < self.stream:
             return
@@ -91,7 +91,7 @@
 
     def is_recent(self, now: float) -> bool:
         """Return whether the agent was heard from recently."""
-        return now - self.heard_at <= defaults.COVERED_SECONDS
+        return now - self.heard_at <= defaults.COVERAGE_TIMEOUT_SECONDS
 
     def is_covered(self, now: float) -> bool:
         """Return whether all flows of its upstream are known here."""
@@ -106,25 +106,25 @@
         """
         if self.former_tag is None:
             return False
-        if now - self.first_heard_at >= defaults.FLOW_LIFE_SECONDS:
+        if now - self.first_heard_at >= defaults.MAX_FLOW_AGE_SECONDS:
             return False
         is_unknown = 0 in {self.former_tag, self.upstream_tag}
         return is_unknown or self.former_tag == self.upstream_tag
 
 
-class Directory:
+class DirectoryNode:
     """The flows that other agents registered with this node."""
 
     def __init__(self, now: float) -> None:
         """Start empty."""
         #: Hosts whose agents may own a flow; two if an opening packet reached
         #: two of them.
-        self.holders: Generations[tuple[str, ...]] = Generations(
-            defaults.REGISTERED_SECONDS,
-            defaults.MAX_REGISTERED,
+        self.owners: Generations[tuple[str, ...]] = Generations(
+            defaults.REGISTRATION_GENERATION_SECONDS,
+            defaults.MAX_REGISTERED_FLOWS,
             now,
         )
-        self.members: dict[str, RegisteredAgent] = {}
+        self.agents: dict[str, RegisteredAgent] = {}
         #: Hosts whose flows were all known at the last update of the coverage.
         self.covered: frozenset[str] = frozenset()
         self.digest = 0
@@ -132,59 +132,57 @@
         #: Balancers to notify of changes of the coverage, and until when.
         self.watchers: dict[str, float] = {}
         #: Digest of the coverage that they were last sent.
-        self.told_digest = 0
+        self.notified_digest = 0
 
-    def take(
+    def record(
         self,
         host: str,
         registration: Registration,
         now: float,
     ) -> RegisteredAgent | None:
         """Record a registration; return the agent if it has just started."""
-        agent = self.members.get(host)
+        agent = self.agents.get(host)
         is_new = agent is None or agent.boot != registration.boot
         if agent is None or is_new:
             started = RegisteredAgent(registration, now)
             if agent is not None:
                 started.former_tag = agent.upstream_tag or agent.former_tag or 0
             agent = started
-            self.members[host] = agent
-        agent.take(registration, now)
+            self.agents[host] = agent
+        agent.record(registration, now)
         for key in registration.keys:
             self._add_owner(key, host)
         if agent.is_covered(now) != (host in self.covered):
             self.coverage_updated_at = float('-inf')
         return agent if is_new else None
 
-    def list_holders(self, key: bytes, now: float) -> tuple[str, ...]:
+    def list_owners(self, key: bytes, now: float) -> tuple[str, ...]:
         """Return the hosts that registered a flow and were heard from recently.
 
         Hosts in the last computed coverage are included, too: leaving them out
         would deny the flow on their behalf.
         """
-        hosts = self.holders.get(key) or ()
+        hosts = self.owners.get(key) or ()
         return tuple(
             host
             for host in hosts
             if host in self.covered or self._is_recent(host, now)
         )
 
-    def count_covered(self, own: str, now: float) -> CoverageChange:
+    def update_coverage(self, own_host: str, now: float) -> CoverageChange:
         """Update the set of covered hosts; return the change.
 
         ``own_host`` is the host of this agent if it knows all flows of its
         upstream, else empty.
         """
-        if now - self.coverage_updated_at < defaults.COUNT_SECONDS:
+        if now - self.coverage_updated_at < defaults.COVERAGE_UPDATE_SECONDS:
             return _NO_CHANGE
         self.coverage_updated_at = now
         covered = {
-            host
-            for host, agent in self.members.items()
-            if agent.is_covered(now)
+            host for host, agent in self.agents.items() if agent.is_covered(now)
         }
-        if own:
-            covered.add(own)
+        if own_host:
+            covered.add(own_host)
         if covered == self.covered:
             return _NO_CHANGE
         before = self.covered
@@ -195,14 +193,17 @@
     def list_lagging(self, now: float) -> list[str]:
         """Return the hosts to request all flows of, since some were lost."""
         lagging = []
-        for host, agent in self.members.items():
+        for host, agent in self.agents.items():
             since = max(agent.lagging_since, agent.resync_requested_at)
-            if not agent.is_in_sync and now - since >= defaults.LAG_SECONDS:
+            if (
+                not agent.is_in_sync
+                and now - since >= defaults.RESYNC_DELAY_SECONDS
+            ):
                 agent.resync_requested_at = now
                 lagging.append(host)
         return lagging
 
-    def forget_watchers(self, now: float) -> None:
+    def expire_watchers(self, now: float) -> None:
         """Remove balancers whose last lookup was too long ago."""
         gone = [host for host, until in self.watchers.items() if now > until]
         for host in gone:
@@ -210,22 +211,22 @@
 
     def expire(self, now: float) -> None:
         """Remove flows and agents not heard of for too long."""
-        self.holders.expire(now)
+        self.owners.expire(now)
         gone = [
             host
-            for host, agent in self.members.items()
-            if now - agent.heard_at > defaults.FLOW_LIFE_SECONDS
+            for host, agent in self.agents.items()
+            if now - agent.heard_at > defaults.MAX_FLOW_AGE_SECONDS
         ]
         for host in gone:
-            self.members.pop(host)
+            self.agents.pop(host)
 
     def _is_recent(self, host: str, now: float) -> bool:
         """Return whether an agent was heard from recently."""
-        agent = self.members.get(host)
+        agent = self.agents.get(host)
         return agent is not None and agent.is_recent(now)
 
     def _add_owner(self, key: bytes, host: str) -> None:
-        hosts = self.holders.get(key) or ()
+        hosts = self.owners.get(key) or ()
         if host not in hosts:
             hosts = (*hosts, host)
-        self.holders.put(key, hosts)
+        self.owners.put(key, hosts)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
@@ -8,35 +8,35 @@
 from keelgap_agent.packets.outcomes.state import Work
 from keelgap_agent.packets.scheduling.terms import RouteTerms
 
-__all__ = ('Flow', 'Held', 'SeenRequest')
+__all__ = ('Flow', 'QueuedRequest', 'LoggedRequest')
 
 #: Sequence numbers have 32 bits and wrap around.
 _SEQUENCE_NUMBERS: Final = 0x100000000
 _HALF: Final = _SEQUENCE_NUMBERS // 2
 
 
-class SeenRequest(NamedTuple):
+class LoggedRequest(NamedTuple):
     """A request whose id was read from its first packet, for logs only."""
 
     request_id: str
     #: When that packet arrived.
-    began: float
+    started_at: float
 
 
 class Flow:
     """A flow as far as the packets of both of its ends show it."""
 
     __slots__ = (
-        'asked_by',
+        'searched_by',
         'busy_since',
         'caller_sequence',
         'confirmed',
         'ended',
-        'found_busy',
+        'busy_on_arrival',
         'is_registered',
-        'opened_with',
+        'initial_sequence',
         'requests',
-        'seen',
+        'last_seen_at',
         'terms',
         'work',
     )
@@ -44,7 +44,7 @@
     def __init__(self, now: float) -> None:
         """Start with the first packet of the flow."""
         #: Time of the last packet of either end.
-        self.seen = now
+        self.last_seen_at = now
         #: Sequence number of the latest data from the caller.
         self.caller_sequence: int | None = None
         #: Whether the upstream has sent a packet of the flow.
@@ -54,29 +54,29 @@
         #: Since when the upstream works on a request of the flow.
         self.busy_since: float | None = None
         #: Requests in progress at the upstream when that one arrived.
-        self.found_busy = 0
+        self.busy_on_arrival = 0
         #: Unanswered requests, oldest first; for logs only.
-        self.requests: list[SeenRequest] = []
+        self.requests: list[LoggedRequest] = []
         #: Balancer to notify once the upstream confirms that it has the flow.
-        self.asked_by: str | None = None
+        self.searched_by: str | None = None
         #: Whether the flow is registered with the directory of the service.
         self.is_registered = False
         #: Priority and deadlines of subsequent requests by route, if known.
         self.terms: RouteTerms | None = None
         #: Sequence number of the upstream's opening packet, until the upstream
         #: sends data.
-        self.opened_with: int | None = None
+        self.initial_sequence: int | None = None
         #: The request in progress, if outcomes of requests are evaluated.
         self.work: Work | None = None
 
-    def is_ahead(self, sequence: int) -> bool:
+    def is_new_sequence(self, sequence: int) -> bool:
         """Return whether a sequence number is later than all seen before."""
         latest = self.caller_sequence
         if latest is None:
             return True
         return 0 < (sequence - latest) % _SEQUENCE_NUMBERS < _HALF
 
-    def sort(self, sequences: Iterable[int]) -> list[int]:
+    def sort_sequences(self, sequences: Iterable[int]) -> list[int]:
         """Return sequence numbers in the order in which data was written."""
         latest = self.caller_sequence
         if latest is None:
@@ -87,7 +87,7 @@
         )
 
 
-class Held(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request that waits until the upstream has capacity for it.
 
     It is the first request of a new flow, queued from the opening packet on,
@@ -96,21 +96,21 @@
 
     #: When the opening packet arrived, or the first packet of a subsequent
     #: request.
-    came: float
+    arrived_at: float
     #: 0 is the highest priority.
     priority: int
     #: Until when an answer is in time.
-    in_time: float
+    deadline: float
     #: Until when the caller is certain to wait.
-    assured: float
+    earliest_departure: float
     #: When the caller leaves at the latest.
-    leaves: float
+    latest_departure: float
     #: Whether the caller has waited since an outage of the service.
     is_from_outage: bool
     #: Packets of the request so far, by sequence number.
     packets: dict[int, EnvelopeArrived]
     #: Whether earlier requests of the flow were forwarded.
-    is_later: bool = False
+    is_subsequent: bool = False
 
     def rank(self, now: float, answer: float) -> tuple[int, int, float]:
         """Return the rank in the queue; the highest rank is served first.
@@ -125,9 +125,17 @@
         if self.is_from_outage:
             # A caller that still waits after its earliest departure is at its
             # first try, and so leaves at its latest departure.
-            due = self.assured if now < self.assured else self.leaves
-            if 0 < due - start < defaults.RESCUE_SECONDS:
+            due = (
+                self.earliest_departure
+                if now < self.earliest_departure
+                else self.latest_departure
+            )
+            if 0 < due - start < defaults.LAST_CHANCE_SECONDS:
                 return 2, 0, -due
-        if start < self.in_time:
-            return 1, -self.priority, self.in_time
-        return -int(start >= self.leaves), -self.priority, -self.leaves
+        if start < self.deadline:
+            return 1, -self.priority, self.deadline
+        return (
+            -int(start >= self.latest_departure),
+            -self.priority,
+            -self.latest_departure,
+        )
--- a/packages/keelgap-agent/src/keelgap_agent/packets/notices.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/notices.py
@@ -11,20 +11,20 @@
 from keelgap_agent.packets.effects import AgentEffect, Decided
 from keelgap_agent.packets.events import EnvelopeArrived
 from keelgap_agent.packets.registration import (
-    move,
-    note_upstream,
-    tell_complete,
+    announce_complete,
+    record_upstream,
+    update_directory,
 )
 from keelgap_agent.packets.state import AgentState
-from keelgap_agent.packets.untold import release_untold
+from keelgap_agent.packets.untold import release_openings
 
-__all__ = ('take_notice',)
+__all__ = ('handle_notice',)
 
 Effects = tuple[AgentEffect, ...]
 _MILLISECONDS: Final = 1000
 
 
-def take_notice(state: AgentState, event: EnvelopeArrived) -> Effects:
+def handle_notice(state: AgentState, event: EnvelopeArrived) -> Effects:
     """Handle a notice of a balancer; raise MalformedEnvelope."""
     if not event.envelope.content:
         # A balancer of an earlier release sends no notice.
@@ -34,29 +34,29 @@
         # About a former upstream on this host, of another service.
         return _change_zone(state, notice, event.sender)
     tag = state.registrar.upstream_tag
-    reason = note_upstream(state, notice)
+    reason = record_upstream(state, notice)
     if tag and state.registrar.upstream_tag != tag:
-        state.judge_anew(event.now)
+        state.reset_outcomes(event.now)
     effects = _change_zone(state, notice, event.sender)
     if reason:
-        effects = (*effects, *tell_complete(state, reason, event.now))
+        effects = (*effects, *announce_complete(state, reason, event.now))
     if notice.revision == state.zone_revision:
         # Not from a balancer whose catalog is behind.
         warm_at = event.now + notice.warm_up_ms / _MILLISECONDS
-        state.cold.take(notice.cold_per_second, warm_at)
+        state.warm_up_limiter.configure(notice.cold_per_second, warm_at)
     released = _release_openings(state, event.now)
     is_current = notice.revision >= state.registrar.directory.revision
     if not notice.shards or not is_current:
         return (*effects, *released)
     # Flows that waited are registered before their packets are forwarded.
-    registered = move(state, notice.directory, event.now)
+    registered = update_directory(state, notice.directory, event.now)
     return (*effects, *registered, *released)
 
 
 def _release_openings(state: AgentState, now: float) -> Effects:
     """Admit the opening packets that waited for the first notice."""
-    state.registrar.is_greeted = True
-    return release_untold(state, now)
+    state.registrar.has_notice = True
+    return release_openings(state, now)
 
 
 def _change_zone(
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/acknowledging.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/acknowledging.py
@@ -24,11 +24,11 @@
     datagram: bytes,
 ) -> bool:
     """Return whether the first data acknowledge this upstream's opening."""
-    if flow.opened_with is None:
+    if flow.initial_sequence is None:
         return False
-    return is_next(state.format.acknowledged(datagram), flow.opened_with)
+    return is_next(state.format.acknowledged(datagram), flow.initial_sequence)
 
 
-def is_next(number: int, opened_with: int) -> bool:
+def is_next(number: int, initial_sequence: int) -> bool:
     """Return whether a sequence number directly follows an opening packet."""
-    return (number - opened_with) % _SEQUENCE_NUMBERS <= _MAX_DISTANCE
+    return (number - initial_sequence) % _SEQUENCE_NUMBERS <= _MAX_DISTANCE
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/giving_up.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/giving_up.py
@@ -44,7 +44,7 @@
 def give_up_all(state: AgentState, now: float) -> Effects:
     """Abandon the queued flows of an ejected upstream."""
     effects: list[AgentEffect] = []
-    for key in tuple(state.held):
+    for key in tuple(state.queued):
         if state.outcomes.ejection.is_taken(key):
             continue
         if key in state.outcomes.unopened:
@@ -67,28 +67,30 @@
     fields = _describe(state, key, now - event.now)
     # Data show that the caller chose another upstream, so if there are any,
     # only they are returned.
-    events = tuple(state.held[key].packets.values()) or (event,)
+    events = tuple(state.queued[key].packets.values()) or (event,)
     _forget(state, key, now, is_reset=False)
-    returned = [state.give_back(one.sender, one.envelope) for one in events]
+    returned = [
+        state.return_to_balancer(one.sender, one.envelope) for one in events
+    ]
     return *returned, Decided('miss_unopened', fields)
 
 
 def give_up_ready(state: AgentState, key: bytes, now: float) -> Effects:
     """Reset a flow whose request is queued for an unresponsive upstream."""
     ejection = state.outcomes.ejection
-    held = state.held[key]
+    queued = state.queued[key]
     is_known = state.registrar.is_complete
     if not is_known or not ejection.is_out or not ejection.is_silent:
         return ()
-    if ejection.is_taken(key) or not held.packets:
+    if ejection.is_taken(key) or not queued.packets:
         return ()
-    datagram = next(iter(held.packets.values())).envelope.content
+    datagram = next(iter(queued.packets.values())).envelope.content
     flow = state.flows[key]
     # Data that were sent to the upstream have opened the flow.
     is_open = flow.caller_sequence is not None
     if is_open or not acknowledges_upstream(state, flow, datagram):
         return ()
-    fields = _describe(state, key, now - held.came)
+    fields = _describe(state, key, now - queued.arrived_at)
     _forget(state, key, now, is_reset=True)
     reset = SendToCaller(state.format.make_reset(datagram))
     return reset, Decided('reset_ejected', fields)
@@ -109,7 +111,7 @@
     # After a reset the caller may open a new flow from the same port.
     is_new = is_opening and not state.format.copies(datagram)
     if is_new or not state.outcomes.given_up[key].is_reset:
-        miss = state.give_back(event.sender, envelope)
+        miss = state.return_to_balancer(event.sender, envelope)
         return miss, Decided('miss_given_up')
     is_end = state.format.flags(datagram) & ENDS_FLOW
     if is_end or is_opening:
@@ -143,5 +145,5 @@
         'flow': state.format.describe_key(key),
         'waited': round(waited, 3),
         'busy': state.busy,
-        'waiting': len(state.held),
+        'waiting': len(state.queued),
     }
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/judging.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/judging.py
@@ -21,9 +21,9 @@
     'judge_answer',
     'judge_bounce',
     'judge_silence',
-    'note_opening',
+    'record_opening',
     'note_upstream_packet',
-    'note_work',
+    'record_work',
 )
 
 Effects = tuple[AgentEffect, ...]
@@ -39,7 +39,7 @@
 _MISDIRECTED: Final = 421
 
 
-def note_opening(
+def record_opening(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
@@ -49,7 +49,7 @@
         state.outcomes.unopened[key] = event
 
 
-def note_work(
+def record_work(
     state: AgentState,
     key: bytes,
     flow: Flow,
@@ -67,7 +67,7 @@
     if flow.work is not None:
         state.outcomes.go_on(flow.work, now)
         return
-    is_first = flow.opened_with is not None
+    is_first = flow.initial_sequence is not None
     if not flow.confirmed or (
         is_first and not acknowledges_upstream(state, flow, datagram)
     ):
@@ -83,7 +83,7 @@
 ) -> None:
     """Record that the upstream replied to the opening packet of a flow."""
     if state.format.flags(datagram) & _SYN:
-        flow.opened_with = state.format.sequence(datagram)
+        flow.initial_sequence = state.format.sequence(datagram)
         state.outcomes.unopened.pop(key, None)
 
 
@@ -125,9 +125,9 @@
     nothing: an upstream that shuts down closes after a response, and may not
     have seen the next request.
     """
-    if flow.work is None or flow.opened_with is None:
+    if flow.work is None or flow.initial_sequence is None:
         return False
-    return is_next(state.format.sequence(datagram), flow.opened_with)
+    return is_next(state.format.sequence(datagram), flow.initial_sequence)
 
 
 def _record_data_outcome(
@@ -137,8 +137,8 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
-    is_overtaken_by_close = flow.ended and flow.opened_with is not None
-    flow.opened_with = None
+    is_overtaken_by_close = flow.ended and flow.initial_sequence is not None
+    flow.initial_sequence = None
     if flow.work is None and not is_overtaken_by_close:
         return ()
     state.outcomes.note_answer(flow.work)
@@ -183,7 +183,9 @@
     A bounce of the caller's first data shows that the upstream lost the flow
     just after it accepted it.
     """
-    was_just_accepted = flow.work is not None and flow.opened_with is not None
+    was_just_accepted = (
+        flow.work is not None and flow.initial_sequence is not None
+    )
     if not was_just_accepted or not state.format.data_length(packet):
         return ()
     return note_outcome(state, key, Outcome.FORGOTTEN, now)
@@ -218,7 +220,7 @@
     ]
     effects: list[AgentEffect] = []
     for key in late:
-        if key not in state.held:
+        if key not in state.queued:
             outcomes.unopened.pop(key, None)
             continue
         if not effects:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/telling.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/telling.py
@@ -35,7 +35,7 @@
         return effects
     hosts = outcomes.untold
     if outcomes.has_news:
-        hosts = hosts | state.balancers.greeted.keys()
+        hosts = hosts | state.balancers.subscribers.keys()
     outcomes.has_news = False
     outcomes.untold = set()
     reports = tuple(make_report_to(state, host) for host in sorted(hosts))
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/verdicts.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/verdicts.py
@@ -53,7 +53,7 @@
     fields = {
         **_describe(state, key, outcome, now),
         'busy': state.busy,
-        'waiting': len(state.held),
+        'waiting': len(state.queued),
         'answer_ms': round(state.answer_seconds * _MILLISECONDS, 1),
     }
     ejected = Decided('upstream_ejected', fields)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/pace.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/pace.py
@@ -11,12 +11,12 @@
 
 from keelgap_agent.packets import defaults
 
-__all__ = ('Pace',)
+__all__ = ('ServiceTimeEstimator',)
 
 _MILLISECONDS: Final = 1000
 
 
-class Pace:
+class ServiceTimeEstimator:
     """Mean service time of requests, over the latest answers."""
 
     def __init__(self) -> None:
@@ -24,24 +24,24 @@
         self.samples = 0
         self.seconds: float = 0
 
-    def note(self, duration: float, before: int, slots: int) -> None:
+    def record(self, duration: float, busy_on_arrival: int, slots: int) -> None:
         """Record the time to one answer.
 
         ``busy_on_arrival`` is the number of requests that were in progress or
         waiting at the upstream when this one arrived.
         """
-        queued = max(before - slots + 1, 0)
+        queued = max(busy_on_arrival - slots + 1, 0)
         sample = duration / (1 + queued / slots)
-        if self.samples >= defaults.FIRST_PACE_SAMPLES:
+        if self.samples >= defaults.MIN_SAMPLES_TO_CAP:
             # A single long request says little about the others.
-            sample = min(sample, defaults.MOST_PACE_SAMPLE * self.seconds)
+            sample = min(sample, defaults.MAX_SAMPLE_RATIO * self.seconds)
         # A plain mean first, a moving average once there are enough samples.
-        self.samples = min(self.samples + 1, defaults.PACE_SAMPLES)
+        self.samples = min(self.samples + 1, defaults.SERVICE_TIME_SAMPLES)
         self.seconds += (sample - self.seconds) / self.samples
 
     @property
     def milliseconds(self) -> int:
         """Return the mean service time; 0 until there are enough samples."""
-        if self.samples < defaults.FEWEST_PACE_SAMPLES:
+        if self.samples < defaults.MIN_SERVICE_TIME_SAMPLES:
             return 0
         return max(round(self.seconds * _MILLISECONDS), 1)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
@@ -12,16 +12,16 @@
 from keelgap.packets.formats import ENDS_FLOW, Flags
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.admission import (
+    admit_opening,
+    handle_queued_packet,
     release_all,
-    release_held,
-    take_opening,
-    take_waiting,
+    release_queued,
 )
 from keelgap_agent.packets.directory import (
-    answer_lookup,
-    ask_lagging,
-    take_registration,
-    tell_watchers,
+    handle_lookup,
+    handle_registration,
+    notify_watchers,
+    request_resyncs,
 )
 from keelgap_agent.packets.effects import (
     AgentEffect,
@@ -36,7 +36,7 @@
     UpstreamPacket,
 )
 from keelgap_agent.packets.flows import Flow
-from keelgap_agent.packets.notices import take_notice
+from keelgap_agent.packets.notices import handle_notice
 from keelgap_agent.packets.outcomes.giving_up import (
     answer_given_up,
     drop_given_up,
@@ -45,19 +45,19 @@
     judge_answer,
     judge_silence,
     note_upstream_packet,
-    note_work,
+    record_work,
 )
 from keelgap_agent.packets.outcomes.telling import make_report_to, tell_news
 from keelgap_agent.packets.registration import (
-    keep_registered,
-    register,
-    resync,
+    handle_resync,
+    refresh_registrations,
+    register_flow,
 )
 from keelgap_agent.packets.request_log import (
-    note_request,
-    tell_answer,
-    tell_begun,
-    tell_unanswered,
+    log_pending_requests,
+    log_request_answered,
+    log_request_started,
+    log_requests_unanswered,
 )
 from keelgap_agent.packets.scheduling.later import (
     begins_to_wait,
@@ -68,10 +68,10 @@
 )
 from keelgap_agent.packets.state import AgentState
 from keelgap_agent.packets.untold import (
-    ask_again,
-    hold_untold,
-    is_untold,
-    release_untold,
+    awaits_first_notice,
+    queue_opening,
+    release_openings,
+    retry_notice_request,
 )
 
 __all__ = ('reduce',)
@@ -92,7 +92,7 @@
 
 
 def _handle_envelope(state: AgentState, event: EnvelopeArrived) -> Effects:
-    state.note_stamp(event.stamp, event.now)
+    state.record_stamp(event.stamp, event.now)
     handler = _ENVELOPE_HANDLERS.get(event.envelope.kind)
     if handler is None:
         return (Decided('drop_unexpected_kind'),)
@@ -104,18 +104,18 @@
 
 def _subscribe(state: AgentState, event: EnvelopeArrived) -> Effects:
     """Subscribe a balancer to load reports and send the first one."""
-    state.balancers.greeted[event.sender] = event.now
+    state.balancers.subscribers[event.sender] = event.now
     return _answer_ask(state, event)
 
 
 def _answer_ask(state: AgentState, event: EnvelopeArrived) -> Effects:
     """Handle the notice of a balancer and send it one load report."""
     state.balancers.report_formats[event.sender] = event.envelope.hop
-    handled = take_notice(state, event)
+    handled = handle_notice(state, event)
     return (make_report_to(state, event.sender), *handled)
 
 
-def _take_packet(state: AgentState, event: EnvelopeArrived) -> Effects:
+def _handle_packet(state: AgentState, event: EnvelopeArrived) -> Effects:
     """Forward a packet to the upstream, or queue it.
 
     A packet of another service goes back to its balancer.
@@ -126,7 +126,7 @@
         return (Decided(MalformedEnvelope.code),)
     if envelope.service_tag != state.service_tag:
         return (
-            state.give_back(event.sender, envelope),
+            state.return_to_balancer(event.sender, envelope),
             Decided('miss_other_service'),
         )
     key = state.format.caller_key(datagram)
@@ -135,7 +135,7 @@
         if handled is not None:
             return handled
     flow = state.flows[key]
-    flow.seen = event.now
+    flow.last_seen_at = event.now
     handler = _find_queue_handler(state, key, flow, event)
     if handler is not None:
         return handler(state, key, event)
@@ -149,9 +149,9 @@
     event: EnvelopeArrived,
 ) -> Callable[[AgentState, bytes, EnvelopeArrived], Effects] | None:
     """Return the handler of a packet whose request waits; else None."""
-    waiting = state.held.get(key)
+    waiting = state.queued.get(key)
     if waiting is not None:
-        return take_more if waiting.is_later else take_waiting
+        return take_more if waiting.is_subsequent else handle_queued_packet
     return hold_later if begins_to_wait(state, flow, event) else None
 
 
@@ -165,13 +165,13 @@
     envelope = event.envelope
     datagram = envelope.content
     started = _record_caller_packet(state, key, flow, datagram, event.now)
-    forwarded = state.pass_on(event.sender, envelope)
+    forwarded = state.forward_to_upstream(event.sender, envelope)
     # A caller that ended its flow may have freed a slot.
-    released = release_held(state, event.now) if flow.ended else ()
+    released = release_queued(state, event.now) if flow.ended else ()
     owned: Effects = ()
     if envelope.kind == EnvelopeKind.SEARCH:
         if not flow.confirmed:
-            flow.asked_by = event.sender
+            flow.searched_by = event.sender
             # A search goes to many agents, most of which do not own the flow,
             # so its requests are logged only once the upstream has answered;
             # see log_pending_requests.
@@ -194,10 +194,10 @@
     if key in state.outcomes.given_up:
         return answer_given_up(state, key, event)
     if envelope.kind in OPENING_KINDS:
-        handler = hold_untold if is_untold(state) else take_opening
+        handler = queue_opening if awaits_first_notice(state) else admit_opening
         return handler(state, key, event)
     if len(state.flows) >= defaults.MAX_FLOWS:
-        forwarded = state.pass_on(event.sender, envelope)
+        forwarded = state.forward_to_upstream(event.sender, envelope)
         return forwarded, Decided('flow_table_full')
     state.flows[key] = Flow(event.now)
     return None
@@ -218,9 +218,9 @@
         state.outcomes.ejection.forget(key)
     if state.format.data_length(datagram):
         sequence = state.format.sequence(datagram)
-        if state.note_data(flow, sequence, now):
-            note_work(state, key, flow, datagram, now)
-            return note_request(state, key, flow, datagram, now)
+        if state.record_data(flow, sequence, now):
+            record_work(state, key, flow, datagram, now)
+            return log_request_started(state, key, flow, datagram, now)
     return ()
 
 
@@ -242,28 +242,28 @@
         flow = Flow(now)
         if len(state.flows) < defaults.MAX_FLOWS:
             state.flows[key] = flow
-    flow.seen = now
+    flow.last_seen_at = now
     flow.confirmed = True
     note_upstream_packet(state, key, flow, datagram)
     owned = _answer_search(state, key, flow)
     if not flow.is_registered and key in state.flows:
-        owned = (*owned, *register(state, key, flow, now))
+        owned = (*owned, *register_flow(state, key, flow, now))
     answered = _record_answer(state, key, flow, datagram, now)
     # Must follow the end of the flow: data forwarded on an ended flow does not
     # count as work.
     settled = end_waiting(state, key, flags, now)
-    released = release_held(state, now) if state.held else ()
+    released = release_queued(state, now) if state.queued else ()
     return (SendToCaller(datagram), *owned, *answered, *settled, *released)
 
 
 def _answer_search(state: AgentState, key: bytes, flow: Flow) -> Effects:
     """Tell the balancer that searched for the flow that it is owned here."""
-    asked_by = flow.asked_by
-    if asked_by is None:
+    searched_by = flow.searched_by
+    if searched_by is None:
         return ()
-    flow.asked_by = None
-    owned = state.send(asked_by, EnvelopeKind.OWNED, key)
-    return (owned, *tell_begun(state, key, flow))
+    flow.searched_by = None
+    owned = state.send(searched_by, EnvelopeKind.OWNED, key)
+    return (owned, *log_pending_requests(state, key, flow))
 
 
 def _record_answer(
@@ -277,14 +277,17 @@
     classified = judge_answer(state, key, flow, datagram, now)
     flags = state.format.flags(datagram)
     if state.format.data_length(datagram):
-        state.note_work(flow, datagram, now)
+        state.record_work(flow, datagram, now)
         state.end_request(flow, now)
-        answered = tell_answer(state, key, flow, datagram, now)
+        answered = log_request_answered(state, key, flow, datagram, now)
     if flags & ENDS_FLOW:
         flow.ended = True
         state.end_request(flow, now)
         if flags & _RST:
-            answered = (*answered, *tell_unanswered(state, key, flow, 'reset'))
+            answered = (
+                *answered,
+                *log_requests_unanswered(state, key, flow, 'reset'),
+            )
     return (*answered, *classified)
 
 
@@ -301,7 +304,7 @@
     state.forget(key)
     if host is None:
         dropped = Decided('drop_bounce_unknown_mark')
-        return (dropped, *lost, *release_held(state, now))
+        return (dropped, *lost, *release_queued(state, now))
     bounced = Decided(f'bounced_{_KIND_NAMES.get(kind, "unknown")}')
     if kind in OPENING_KINDS:
         fields = {
@@ -312,13 +315,13 @@
         }
         bounced = bounced._replace(fields=fields)
     miss = state.send(host, EnvelopeKind.MISS, packet, hop)
-    return (miss, bounced, *lost, *release_held(state, now))
+    return (miss, bounced, *lost, *release_queued(state, now))
 
 
 def _handle_timer(state: AgentState, event: TimerFired) -> Effects:
     now = event.now
     effects = judge_silence(state, now)
-    if now - state.swept_at >= defaults.SWEEP_SECONDS:
+    if now - state.swept_at >= defaults.SWEEP_INTERVAL_SECONDS:
         state.swept_at = now
         state.directory.expire(now)
         effects = (*effects, *_sweep(state, now))
@@ -327,36 +330,36 @@
 
 def _release_and_report(state: AgentState, now: float) -> Effects:
     """Release queued requests and report changes."""
-    released = release_held(state, now)
+    released = release_queued(state, now)
     directory_effects = (
-        *ask_again(state, now),
-        *keep_registered(state, now),
-        *ask_lagging(state, now),
-        *tell_watchers(state, now),
+        *retry_notice_request(state, now),
+        *refresh_registrations(state, now),
+        *request_resyncs(state, now),
+        *notify_watchers(state, now),
     )
     report = state.make_report()
-    unreported_seconds = now - state.balancers.reported_at
+    unreported_seconds = now - state.balancers.last_report_at
     if (
-        report == state.balancers.reported
-        and unreported_seconds < defaults.REPORT_IDLE_SECONDS
+        report == state.balancers.last_report
+        and unreported_seconds < defaults.MAX_REPORT_INTERVAL_SECONDS
     ):
         return (*released, *directory_effects, *_send_due_reports(state))
-    state.balancers.reported = report
-    state.balancers.reported_at = now
+    state.balancers.last_report = report
+    state.balancers.last_report_at = now
     return (*released, *directory_effects, *_send_all_reports(state, now))
 
 
 def _send_all_reports(state: AgentState, now: float) -> Effects:
-    subscribers = state.balancers.greeted
+    subscribers = state.balancers.subscribers
     expired = [
         host
         for host, subscribed_at in subscribers.items()
-        if now - subscribed_at > defaults.SUBSCRIBED_SECONDS
+        if now - subscribed_at > defaults.SUBSCRIPTION_SECONDS
     ]
     for gone in expired:
         subscribers.pop(gone)
     effects = tuple(make_report_to(state, receiver) for receiver in subscribers)
-    state.balancers.owed.difference_update(subscribers)
+    state.balancers.reports_due.difference_update(subscribers)
     return (*effects, *_send_due_reports(state))
 
 
@@ -366,7 +369,7 @@
     It shows them that this agent is alive.  In a large fleet a balancer
     subscribes to few agents only, and hears nothing else from the others.
     """
-    due = state.balancers.owed
+    due = state.balancers.reports_due
     effects = tuple(make_report_to(state, receiver) for receiver in sorted(due))
     due.clear()
     return effects
@@ -377,12 +380,12 @@
     expired = [
         key
         for key, flow in state.flows.items()
-        if now - flow.seen > _choose_idle_timeout(flow)
+        if now - flow.last_seen_at > _choose_idle_timeout(flow)
     ]
     effects: list[AgentEffect] = []
     for key in expired:
         effects.extend(
-            tell_unanswered(state, key, state.flows[key], 'silent'),
+            log_requests_unanswered(state, key, state.flows[key], 'silent'),
         )
         state.forget(key)
     return tuple(effects)
@@ -390,16 +393,16 @@
 
 def _choose_idle_timeout(flow: Flow) -> float:
     if flow.ended:
-        return defaults.ENDED_SECONDS
+        return defaults.ENDED_FLOW_SECONDS
     if flow.confirmed:
-        return defaults.FLOW_SECONDS
-    return defaults.OFFER_SECONDS
+        return defaults.IDLE_FLOW_SECONDS
+    return defaults.UNANSWERED_OPENING_SECONDS
 
 
 def _stop(state: AgentState, event: StopRequested) -> Effects:
     """Stop taking new flows, and report so at once."""
     state.stopping_since = event.now
-    refused = release_untold(state, event.now)
+    refused = release_openings(state, event.now)
     released = (*refused, *release_all(state, event.now))
     return (*released, *_send_all_reports(state, event.now))
 
@@ -413,13 +416,13 @@
 ] = MappingProxyType({
     int(EnvelopeKind.ASK): _answer_ask,
     int(EnvelopeKind.HELLO): _subscribe,
-    int(EnvelopeKind.FORWARD): _take_packet,
-    int(EnvelopeKind.OPEN): _take_packet,
-    int(EnvelopeKind.TRY): _take_packet,
-    int(EnvelopeKind.SEARCH): _take_packet,
-    int(EnvelopeKind.REGISTER): take_registration,
-    int(EnvelopeKind.RESYNC): resync,
-    int(EnvelopeKind.LOOKUP): answer_lookup,
+    int(EnvelopeKind.FORWARD): _handle_packet,
+    int(EnvelopeKind.OPEN): _handle_packet,
+    int(EnvelopeKind.TRY): _handle_packet,
+    int(EnvelopeKind.SEARCH): _handle_packet,
+    int(EnvelopeKind.REGISTER): handle_registration,
+    int(EnvelopeKind.RESYNC): handle_resync,
+    int(EnvelopeKind.LOOKUP): handle_lookup,
 })
 
 _HANDLERS: Final[Mapping[type, Callable[[AgentState, Any], Effects]]] = (
--- a/packages/keelgap-agent/src/keelgap_agent/packets/refusals.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/refusals.py
@@ -2,7 +2,7 @@
 
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.events import EnvelopeArrived
-from keelgap_agent.packets.flows import Held
+from keelgap_agent.packets.flows import QueuedRequest
 from keelgap_agent.packets.room import NO_TIME, lacks_time
 from keelgap_agent.packets.state import AgentState
 
@@ -12,7 +12,7 @@
 def find_refusal(
     state: AgentState,
     event: EnvelopeArrived,
-    request: Held,
+    request: QueuedRequest,
 ) -> str | None:
     """Return why a new flow is refused; None if it is admitted."""
     now = event.now
@@ -21,11 +21,11 @@
     if state.is_evacuated:
         # The balancer's catalog is behind, or was when it sent the packet.
         return 'miss_zone_left'
-    if state.cold.is_full(now):
+    if state.warm_up_limiter.is_at_limit(now):
         return 'miss_cold'
     if len(state.flows) >= defaults.MAX_FLOWS:
         return 'miss_full'
-    if len(state.held) >= state.slots * defaults.HELD_PER_SLOT:
+    if len(state.queued) >= state.slots * defaults.MAX_QUEUED_PER_SLOT:
         return 'miss_queue_full'
     if not state.features.admission:
         return None
--- a/packages/keelgap-agent/src/keelgap_agent/packets/registrar.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/registrar.py
@@ -5,22 +5,22 @@
 from keelgap.packets.directory import NO_DIRECTORY
 from keelgap_agent.packets.events import EnvelopeArrived
 
-__all__ = ('Registrar', 'Stream')
+__all__ = ('Registrar', 'RegistrationStream')
 
 _MILLISECONDS: Final = 1000
 #: Boot ids have 32 bits and wrap around after 49 days.
 _BOOT_IDS: Final = 0x100000000
 
 
-class Stream:
+class RegistrationStream:
     """The sequence of registrations sent to one directory node."""
 
-    __slots__ = ('began', 'end', 'number', 'sent_at')
+    __slots__ = ('started_at', 'end', 'number', 'sent_at')
 
     def __init__(self, number: int, now: float) -> None:
         """Start before the first registration."""
         self.number = number
-        self.began = now
+        self.started_at = now
         self.sent_at = now
         #: Flows registered in this stream so far.
         self.end = 0
@@ -29,38 +29,38 @@
 class Registrar:
     """What this agent has registered, and what it knows of the directory."""
 
-    def __init__(self, own: str, now: float) -> None:
+    def __init__(self, own_host: str, now: float) -> None:
         """Start without a directory."""
         #: Host of this agent; if empty, it takes part in no directory.
-        self.own = own
-        self.began = now
+        self.own_host = own_host
+        self.started_at = now
         #: Identifies this start of the process, until the ids wrap around.
         self.boot = int(now * _MILLISECONDS) % _BOOT_IDS
         self.directory = NO_DIRECTORY
         #: Whether a balancer has sent this process a notice.
-        self.is_greeted = False
+        self.has_notice = False
         #: Opening packets that wait for the first notice, by flow key; the
         #: latest copy of each.
-        self.untold: dict[bytes, EnvelopeArrived] = {}
+        self.pending_openings: dict[bytes, EnvelopeArrived] = {}
         #: When a balancer was last asked for a notice.
-        self.asked_at = float('-inf')
+        self.notice_requested_at = float('-inf')
         #: The stream to each directory node, by host.
-        self.streams: dict[str, Stream] = {}
+        self.streams: dict[str, RegistrationStream] = {}
         self.stream_number = 0
         #: Identifies the start of the upstream; 0 until a balancer tells it.
         self.upstream_tag = 0
         self.upstream_revision = 0
         #: Whether no upstream ran here when this process started.
-        self.is_older = False
+        self.predates_upstream = False
         #: Whether this process has seen every flow that the upstream has.
         self.is_complete = False
 
-    def forget_directory(self) -> None:
+    def reset_directory(self) -> None:
         """Return to the state before the first notice.
 
         Opening packets that wait are dropped; their callers retransmit them.
         """
-        self.is_greeted = False
-        self.untold = {}
+        self.has_notice = False
+        self.pending_openings = {}
         self.directory = NO_DIRECTORY
         self.streams.clear()
--- a/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
@@ -22,22 +22,22 @@
 from keelgap_agent.packets.effects import AgentEffect, Decided, SendToPeer
 from keelgap_agent.packets.events import EnvelopeArrived
 from keelgap_agent.packets.flows import Flow
-from keelgap_agent.packets.registrar import Stream
+from keelgap_agent.packets.registrar import RegistrationStream
 from keelgap_agent.packets.state import AgentState
 
 __all__ = (
-    'keep_registered',
-    'move',
-    'note_upstream',
-    'register',
-    'resync',
-    'tell_complete',
+    'refresh_registrations',
+    'update_directory',
+    'record_upstream',
+    'register_flow',
+    'handle_resync',
+    'announce_complete',
 )
 
 Effects = tuple[AgentEffect, ...]
 
 
-def note_upstream(state: AgentState, notice: UpstreamNotice) -> str:
+def record_upstream(state: AgentState, notice: UpstreamNotice) -> str:
     """Record the upstream, and whether all its flows passed through here.
 
     They did if the upstream started after this process: nothing ran at its
@@ -56,13 +56,15 @@
     if notice.upstream_tag == registrar.upstream_tag:
         return ''
     registrar.upstream_tag = notice.upstream_tag
-    if registrar.is_complete or not (registrar.is_older and notice.is_young):
+    if registrar.is_complete or not (
+        registrar.predates_upstream and notice.is_young
+    ):
         return ''
     registrar.is_complete = True
     return 'older_than_upstream'
 
 
-def tell_complete(state: AgentState, reason: str, now: float) -> Effects:
+def announce_complete(state: AgentState, reason: str, now: float) -> Effects:
     """Tell the directory nodes at once that they may cover this agent.
 
     After an outage of the whole fleet, verdicts on dead flows wait for it.
@@ -71,7 +73,7 @@
     fields = {
         'reason': reason,
         'upstream_tag': registrar.upstream_tag,
-        'age': round(now - registrar.began, 3),
+        'age': round(now - registrar.started_at, 3),
         'flows': len(state.flows),
     }
     sent = (
@@ -80,7 +82,7 @@
     return (Decided('knows_all_flows', fields), *sent)
 
 
-def move(
+def update_directory(
     state: AgentState,
     directory: FlowDirectory,
     now: float,
@@ -93,7 +95,7 @@
     is_first = not registrar.directory.shards
     registrar.directory = directory
     nodes = {node for nodes in directory.shards for node in nodes}
-    nodes.discard(registrar.own)
+    nodes.discard(registrar.own_host)
     added = sorted(nodes - registrar.streams.keys())
     registered = tuple(
         effect for node in added for effect in _begin_stream(state, node, now)
@@ -105,20 +107,20 @@
         'nodes': len(nodes),
         'added_hosts': added[:MAX_NAMED],
         'is_first': is_first,
-        'age': round(now - registrar.began, 3),
+        'age': round(now - registrar.started_at, 3),
         'flows': len(state.flows),
     }
     return (*registered, Decided('directory_told', fields))
 
 
-def resync(state: AgentState, event: EnvelopeArrived) -> Effects:
+def handle_resync(state: AgentState, event: EnvelopeArrived) -> Effects:
     """Register all flows again with a node that missed some."""
     if event.sender not in state.registrar.streams:
         return ()
     return _begin_stream(state, event.sender, event.now)
 
 
-def register(
+def register_flow(
     state: AgentState,
     key: bytes,
     flow: Flow,
@@ -134,17 +136,17 @@
     )
 
 
-def keep_registered(state: AgentState, now: float) -> Effects:
+def refresh_registrations(state: AgentState, now: float) -> Effects:
     """Send due registrations, even empty ones, and renew old streams."""
     registrar = state.registrar
     effects: list[AgentEffect] = []
-    is_old = now - registrar.began >= defaults.FLOW_LIFE_SECONDS
+    is_old = now - registrar.started_at >= defaults.MAX_FLOW_AGE_SECONDS
     if is_old and not registrar.is_complete:
         # All flows that another agent process forwarded have ended by now.
         registrar.is_complete = True
-        effects.extend(tell_complete(state, 'former_flows_ended', now))
+        effects.extend(announce_complete(state, 'former_flows_ended', now))
     for node, stream in tuple(registrar.streams.items()):
-        if now - stream.began >= defaults.RENEW_SECONDS:
+        if now - stream.started_at >= defaults.STREAM_RENEWAL_SECONDS:
             effects.extend(_begin_stream(state, node, now))
         elif now - stream.sent_at >= _choose_interval(state, now):
             effects.append(_continue_stream(state, node, (), now))
@@ -159,17 +161,17 @@
     shards, since more shards mean more agents and more nodes to register with.
     """
     registrar = state.registrar
-    if now - registrar.began >= defaults.REGISTER_SECONDS:
-        return defaults.REGISTER_SECONDS
+    if now - registrar.started_at >= defaults.REGISTER_INTERVAL_SECONDS:
+        return defaults.REGISTER_INTERVAL_SECONDS
     shards = len(registrar.directory.shards)
-    interval = defaults.FIRST_REGISTER_SECONDS * shards
-    return min(interval, defaults.REGISTER_SECONDS)
+    interval = defaults.STARTUP_REGISTER_SECONDS * shards
+    return min(interval, defaults.REGISTER_INTERVAL_SECONDS)
 
 
 def _begin_stream(state: AgentState, node: str, now: float) -> Effects:
     registrar = state.registrar
     registrar.stream_number += 1
-    stream = Stream(registrar.stream_number, now)
+    stream = RegistrationStream(registrar.stream_number, now)
     registrar.streams[node] = stream
     keys = tuple(
         key
@@ -202,7 +204,7 @@
 def _send(
     state: AgentState,
     node: str,
-    stream: Stream,
+    stream: RegistrationStream,
     sequence: int,
     keys: tuple[bytes, ...],
 ) -> SendToPeer:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/request_log.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/request_log.py
@@ -6,15 +6,20 @@
 
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.effects import AgentEffect, Decided, Observed
-from keelgap_agent.packets.flows import Flow, SeenRequest
+from keelgap_agent.packets.flows import Flow, LoggedRequest
 from keelgap_agent.packets.state import AgentState
 
-__all__ = ('note_request', 'tell_answer', 'tell_begun', 'tell_unanswered')
+__all__ = (
+    'log_request_started',
+    'log_request_answered',
+    'log_pending_requests',
+    'log_requests_unanswered',
+)
 
 Effects = tuple[AgentEffect, ...]
 
 
-def note_request(
+def log_request_started(
     state: AgentState,
     key: bytes,
     flow: Flow,
@@ -22,17 +27,17 @@
     now: float,
 ) -> Effects:
     """Record and log the id of a request that starts in a packet."""
-    if len(flow.requests) >= defaults.MAX_SEEN_REQUESTS:
+    if len(flow.requests) >= defaults.MAX_LOGGED_REQUESTS:
         return ()
     request_id = state.format.find_request_id(datagram)
     if request_id is None:
         return ()
-    request = SeenRequest(request_id, now)
+    request = LoggedRequest(request_id, now)
     flow.requests.append(request)
     return (_make_log_entry(state, key, request),)
 
 
-def tell_begun(state: AgentState, key: bytes, flow: Flow) -> Effects:
+def log_pending_requests(state: AgentState, key: bytes, flow: Flow) -> Effects:
     """Log the requests of a flow that was searched and is owned here."""
     return tuple(
         _make_log_entry(state, key, request) for request in flow.requests
@@ -42,18 +47,18 @@
 def _make_log_entry(
     state: AgentState,
     key: bytes,
-    request: SeenRequest,
+    request: LoggedRequest,
 ) -> Decided:
     fields = {
         'request': request.request_id,
         'flow': state.format.describe_key(key),
         'busy': state.busy,
-        'waiting': len(state.held),
+        'waiting': len(state.queued),
     }
     return Decided('request_began', fields)
 
 
-def tell_answer(
+def log_request_answered(
     state: AgentState,
     key: bytes,
     flow: Flow,
@@ -65,14 +70,14 @@
     if not status or not flow.requests:
         return ()
     request = flow.requests.pop(0)
-    duration = now - request.began
+    duration = now - request.started_at
     fields = {
         'request': request.request_id,
         'flow': state.format.describe_key(key),
         'status': status,
         'milliseconds': round(duration * 1000, 1),
         'busy': state.busy,
-        'waiting': len(state.held),
+        'waiting': len(state.queued),
     }
     return (
         Decided('request_answered', fields),
@@ -80,7 +85,7 @@
     )
 
 
-def tell_unanswered(
+def log_requests_unanswered(
     state: AgentState,
     key: bytes,
     flow: Flow,
--- a/packages/keelgap-agent/src/keelgap_agent/packets/room/order.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/room/order.py
@@ -7,7 +7,7 @@
 from keelgap_agent.packets.room import defaults
 
 if TYPE_CHECKING:
-    from keelgap_agent.packets.flows import Held
+    from keelgap_agent.packets.flows import QueuedRequest
     from keelgap_agent.packets.state import AgentState
 
 __all__ = ('choose_under_pressure',)
@@ -27,8 +27,8 @@
     before all others, since they were not refused.
     """
     response_time = state.answer_seconds
-    held = state.held
-    ranks = {key: _rank(held[key], now, response_time) for key in ready}
+    queued = state.queued
+    ranks = {key: _rank(queued[key], now, response_time) for key in ready}
     first = max(ranks, key=ranks.__getitem__)
     rescue_interval = state.room.pace / defaults.RESCUE_SHARE
     if now - state.room.rescued_at < rescue_interval:
@@ -36,16 +36,16 @@
     about_to_leave = [
         key
         for key in ranks
-        if _is_about_to_leave(held[key], now, response_time)
+        if _is_about_to_leave(queued[key], now, response_time)
     ]
     if not about_to_leave:
         return first
     state.room.rescued_at = now
-    return min(about_to_leave, key=lambda key: held[key].leaves)
+    return min(about_to_leave, key=lambda key: queued[key].latest_departure)
 
 
-def _rank(held: 'Held', now: float, response_time: float) -> _Rank:
-    rank_class, priority, due_at = held.rank(now, response_time)
+def _rank(queued: 'QueuedRequest', now: float, response_time: float) -> _Rank:
+    rank_class, priority, due_at = queued.rank(now, response_time)
     return (
         (rank_class, priority, -due_at)
         if rank_class == 1
@@ -53,7 +53,9 @@
     )
 
 
-def _is_about_to_leave(held: 'Held', now: float, response_time: float) -> bool:
+def _is_about_to_leave(
+    queued: 'QueuedRequest', now: float, response_time: float
+) -> bool:
     """Return whether the caller leaves soon, but can still be answered."""
-    remaining = held.leaves - now - response_time
-    return 0 < remaining < agent_defaults.RESCUE_SECONDS
+    remaining = queued.latest_departure - now - response_time
+    return 0 < remaining < agent_defaults.LAST_CHANCE_SECONDS
--- a/packages/keelgap-agent/src/keelgap_agent/packets/room/verdicts.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/room/verdicts.py
@@ -15,7 +15,7 @@
 from keelgap_agent.packets.room import defaults
 
 if TYPE_CHECKING:
-    from keelgap_agent.packets.flows import Held
+    from keelgap_agent.packets.flows import QueuedRequest
     from keelgap_agent.packets.state import AgentState
 
 __all__ = ('NO_TIME', 'compute_room_ms', 'lacks_time')
@@ -39,7 +39,7 @@
 
 def lacks_time(
     state: 'AgentState',
-    held: 'Held',
+    queued: 'QueuedRequest',
     envelope: Envelope,
     now: float,
 ) -> bool:
@@ -48,54 +48,60 @@
     Requests that have waited since an outage are never refused, since they had
     no chance to be served before.
     """
-    if held.is_from_outage or not state.room.is_known:
+    if queued.is_from_outage or not state.room.is_known:
         return False
     if _can_start_now(state):
         return False
-    queue = _count_queued(state, held, now)
+    queue = _count_queued(state, queued, now)
     is_first_try = envelope.wait.age_ms < defaults.RETRY_AGE_MS
-    if _is_in_time(state, held, queue, now, is_first_try):
+    if _is_in_time(state, queued, queue, now, is_first_try):
         return False
     share = defaults.LATE_SHARE if is_first_try else 1
-    return queue.late >= share * _compute_late_limit(state, held, now)
+    return queue.late >= share * _compute_late_limit(state, queued, now)
 
 
 def _can_start_now(state: 'AgentState') -> bool:
     """Return whether a request would be sent to the upstream at once."""
-    return state.has_room and not state.held
+    return state.has_room and not state.queued
 
 
 def _is_in_time(
     state: 'AgentState',
-    held: 'Held',
+    queued: 'QueuedRequest',
     queue: _Queue,
     now: float,
     is_first_try: bool,
 ) -> bool:
     service_time = state.room.pace * state.slots
     margin = defaults.MARGIN_WORKS * service_time if is_first_try else 0
-    expected_at = now + _estimate_start(state, held, queue, now) + service_time
-    return expected_at + margin < held.in_time
+    expected_at = (
+        now + _estimate_start(state, queued, queue, now) + service_time
+    )
+    return expected_at + margin < queued.deadline
 
 
-def compute_room_ms(state: 'AgentState', held: 'Held', now: float) -> int:
+def compute_room_ms(
+    state: 'AgentState', queued: 'QueuedRequest', now: float
+) -> int:
     """Return the milliseconds until a request like this one would start."""
-    queue = _count_queued(state, held, now)
-    wait = _estimate_start(state, held, queue, now)
+    queue = _count_queued(state, queued, now)
+    wait = _estimate_start(state, queued, queue, now)
     return max(min(round(wait * _MILLISECONDS), _MAX_WAIT_MS), 1)
 
 
-def _count_queued(state: 'AgentState', held: 'Held', now: float) -> _Queue:
+def _count_queued(
+    state: 'AgentState', queued: 'QueuedRequest', now: float
+) -> _Queue:
     service_time = state.room.pace * state.slots
     ahead = 0
     late = 0
-    for other in state.held.values():
+    for other in state.queued.values():
         is_present = (
-            other.packets or now - other.came < defaults.HANDSHAKE_SECONDS
+            other.packets or now - other.arrived_at < defaults.HANDSHAKE_SECONDS
         )
-        if not is_present or now + service_time >= other.leaves:
+        if not is_present or now + service_time >= other.latest_departure:
             continue
-        if other.priority > held.priority:
+        if other.priority > queued.priority:
             continue
         if other.rank(now, service_time)[0] > 0:
             ahead += 1
@@ -106,13 +112,13 @@
 
 def _estimate_start(
     state: 'AgentState',
-    held: 'Held',
+    queued: 'QueuedRequest',
     queue: _Queue,
     now: float,
 ) -> float:
     """Return the seconds until the upstream starts on a new request."""
     room = state.room
-    higher_load = room.compute_higher_load(held.priority, now)
+    higher_load = room.compute_higher_load(queued.priority, now)
     if higher_load > defaults.MOST_HIGHER_LOAD:
         return float(_MAX_WAIT_MS)
     responses_before = max(queue.ahead + state.busy + 1 - state.slots, 0)
@@ -121,7 +127,7 @@
 
 def _compute_late_limit(
     state: 'AgentState',
-    held: 'Held',
+    queued: 'QueuedRequest',
     now: float,
 ) -> float:
     """Return how many late requests may be queued for a caller to be served.
@@ -131,6 +137,6 @@
     """
     room = state.room
     service_time = room.pace * state.slots
-    remaining = max(held.leaves - now - service_time, 0)
-    spare_share = room.compute_spare(held.priority, now)
+    remaining = max(queued.latest_departure - now - service_time, 0)
+    spare_share = room.compute_spare(queued.priority, now)
     return defaults.SURE_FACTOR * remaining * spare_share / room.pace
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/later.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/later.py
@@ -12,12 +12,12 @@
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap.packets.formats import ENDS_FLOW, Flags
 from keelgap_agent.packets import defaults as agent_defaults
-from keelgap_agent.packets.admission import release_held, release_request
+from keelgap_agent.packets.admission import release_queued, release_request
 from keelgap_agent.packets.effects import AgentEffect, Decided
 from keelgap_agent.packets.events import EnvelopeArrived
-from keelgap_agent.packets.flows import Flow, Held
+from keelgap_agent.packets.flows import Flow, QueuedRequest
 from keelgap_agent.packets.outcomes.judging import judge_bounce
-from keelgap_agent.packets.request_log import tell_unanswered
+from keelgap_agent.packets.request_log import log_requests_unanswered
 from keelgap_agent.packets.scheduling.order import has_room
 from keelgap_agent.packets.scheduling.rests import note_length
 from keelgap_agent.packets.scheduling.terms import read_packet
@@ -53,7 +53,7 @@
     if is_continuation or flow.ended or not _may_queue(state, flow):
         note_length(state, flow, datagram)
         return False
-    has_queued = any(held.packets for held in state.held.values())
+    has_queued = any(queued.packets for queued in state.queued.values())
     if has_queued or not has_room(state, event.now):
         return True
     note_length(state, flow, datagram)
@@ -66,13 +66,13 @@
     event: EnvelopeArrived,
 ) -> Effects:
     """Queue a request, unless it ranks first and there is capacity."""
-    held = _make_queued(state.flows[key], event)
-    state.held[key] = held
+    queued = _make_queued(state.flows[key], event)
+    state.queued[key] = queued
     effects = (
         *_announce_owned(state, key, event),
-        *_store_packet(state, key, held, event),
+        *_store_packet(state, key, queued, event),
     )
-    if key not in state.held:
+    if key not in state.queued:
         return effects
     return (*effects, Decided('held_later', _describe(state, key, event.now)))
 
@@ -87,7 +87,7 @@
     datagram = envelope.content
     flow = state.flows[key]
     has_data = state.format.data_length(datagram) > 0
-    forwarded = state.pass_on(event.sender, envelope)
+    forwarded = state.forward_to_upstream(event.sender, envelope)
     announced = _announce_owned(state, key, event)
     if state.format.flags(datagram) & ENDS_FLOW:
         # The last data of a request may arrive with the caller's FIN.
@@ -102,11 +102,11 @@
             *announced,
             *settled,
             forwarded,
-            *release_held(state, event.now),
+            *release_queued(state, event.now),
         )
     if not has_data or not _has_new_data(state, flow, datagram):
         return (*announced, forwarded)
-    return (*announced, *_store_packet(state, key, state.held[key], event))
+    return (*announced, *_store_packet(state, key, state.queued[key], event))
 
 
 def end_waiting(
@@ -125,7 +125,7 @@
         return ()
     if flags & _RST:
         fields = _describe(state, key, now)
-        state.held.pop(key)
+        state.queued.pop(key)
         return (Decided('reset_waiting', fields),)
     return pass_waiting(state, key, now)
 
@@ -148,16 +148,20 @@
     The upstream bounces that request as well, so its end is logged at once.
     """
     flow = state.flows.get(key)
-    if flow is None or flow.asked_by is not None:
+    if flow is None or flow.searched_by is not None:
         return pass_waiting(state, key, now)
     recorded = judge_bounce(state, key, flow, packet, now)
     released = pass_waiting(state, key, now)
-    return (*recorded, *released, *tell_unanswered(state, key, flow, 'bounced'))
+    return (
+        *recorded,
+        *released,
+        *log_requests_unanswered(state, key, flow, 'bounced'),
+    )
 
 
 def _is_subsequent_queued(state: AgentState, key: bytes) -> bool:
-    held = state.held.get(key)
-    return held is not None and held.is_later
+    queued = state.queued.get(key)
+    return queued is not None and queued.is_subsequent
 
 
 def _may_queue(state: AgentState, flow: Flow) -> bool:
@@ -168,8 +172,8 @@
     """
     if state.stopping_since is not None or not flow.confirmed:
         return False
-    max_queued = state.slots * agent_defaults.HELD_PER_SLOT
-    return flow.caller_sequence is not None and len(state.held) < max_queued
+    max_queued = state.slots * agent_defaults.MAX_QUEUED_PER_SLOT
+    return flow.caller_sequence is not None and len(state.queued) < max_queued
 
 
 def _has_new_data(state: AgentState, flow: Flow, datagram: bytes) -> bool:
@@ -178,38 +182,38 @@
         return False
     if state.format.flags(datagram) & ENDS_FLOW:
         return False
-    return flow.is_ahead(state.format.sequence(datagram))
+    return flow.is_new_sequence(state.format.sequence(datagram))
 
 
-def _make_queued(flow: Flow, event: EnvelopeArrived) -> Held:
+def _make_queued(flow: Flow, event: EnvelopeArrived) -> QueuedRequest:
     now = event.now
     terms = flow.terms
     assert terms is not None
-    leaves = now + terms.patience
-    return Held(
-        came=now,
+    latest_departure = now + terms.patience
+    return QueuedRequest(
+        arrived_at=now,
         priority=terms.priority,
-        in_time=now + terms.aim,
-        assured=leaves,
-        leaves=leaves,
+        deadline=now + terms.aim,
+        earliest_departure=latest_departure,
+        latest_departure=latest_departure,
         is_from_outage=False,
         packets={},
-        is_later=True,
+        is_subsequent=True,
     )
 
 
 def _store_packet(
     state: AgentState,
     key: bytes,
-    held: Held,
+    queued: QueuedRequest,
     event: EnvelopeArrived,
 ) -> Effects:
     """Store one copy of each packet, and send what there is capacity for."""
     sequence = state.format.sequence(event.envelope.content)
-    is_copy = sequence in held.packets
-    if is_copy or len(held.packets) < agent_defaults.MAX_HELD_PACKETS:
-        held.packets[sequence] = event
-    return release_held(state, event.now)
+    is_copy = sequence in queued.packets
+    if is_copy or len(queued.packets) < agent_defaults.MAX_QUEUED_PACKETS:
+        queued.packets[sequence] = event
+    return release_queued(state, event.now)
 
 
 def _announce_owned(
@@ -226,17 +230,17 @@
 def _drop_abandoned(state: AgentState, key: bytes, now: float) -> Effects:
     """Drop a queued request whose caller has left."""
     fields = _describe(state, key, now)
-    state.held.pop(key)
+    state.queued.pop(key)
     return (Decided('left_waiting', fields),)
 
 
 def _describe(state: AgentState, key: bytes, now: float) -> dict[str, object]:
-    held = state.held[key]
+    queued = state.queued[key]
     return {
         'flow': state.format.describe_key(key),
-        'priority': held.priority,
-        'left_ms': round((held.in_time - now) * _MILLISECONDS),
-        'waited_ms': round((now - held.came) * _MILLISECONDS),
+        'priority': queued.priority,
+        'left_ms': round((queued.deadline - now) * _MILLISECONDS),
+        'waited_ms': round((now - queued.arrived_at) * _MILLISECONDS),
         'busy': state.busy,
-        'waiting': len(state.held),
+        'waiting': len(state.queued),
     }
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/order.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/order.py
@@ -5,7 +5,7 @@
 
 from keelgap_agent.packets import defaults as agent_defaults
 from keelgap_agent.packets.effects import AgentEffect, Observed
-from keelgap_agent.packets.flows import Held
+from keelgap_agent.packets.flows import QueuedRequest
 from keelgap_agent.packets.scheduling import defaults
 from keelgap_agent.packets.scheduling.rests import note_released
 from keelgap_agent.packets.state import AgentState
@@ -29,7 +29,7 @@
     if not state.features.scheduling:
         return False
     in_flight = state.work.count_current(now)
-    return in_flight < state.slots + agent_defaults.EXTRA_SLOTS
+    return in_flight < state.slots + agent_defaults.PREFETCH_COUNT
 
 
 def choose_next(
@@ -44,12 +44,12 @@
     queued for too long, if its caller stays until the response.
     """
     response_time = state.answer_seconds
-    held = state.held
+    queued = state.queued
     if not state.features.scheduling:
-        return max(ready, key=lambda key: held[key].rank(now, response_time))
-    best = max(ready, key=lambda key: _rank(held[key], now, response_time))
+        return max(ready, key=lambda key: queued[key].rank(now, response_time))
+    best = max(ready, key=lambda key: _rank(queued[key], now, response_time))
     chosen = _find_starved(state, ready, now) or best
-    state.work.served_at[held[chosen].priority] = now
+    state.work.served_at[queued[chosen].priority] = now
     return chosen
 
 
@@ -66,11 +66,12 @@
     """
     starved_before = now - defaults.STARVED_SECONDS
     expected_at = now + state.answer_seconds
-    held = state.held
+    queued = state.queued
     starved = [
         key
         for key in ready
-        if held[key].came < starved_before and expected_at < held[key].leaves
+        if queued[key].arrived_at < starved_before
+        and expected_at < queued[key].latest_departure
     ]
     if not starved:
         return None
@@ -82,34 +83,34 @@
     return min(
         starved,
         key=lambda key: (
-            served_at.get(held[key].priority, float('-inf')),
-            held[key].came,
+            served_at.get(queued[key].priority, float('-inf')),
+            queued[key].arrived_at,
         ),
     )
 
 
 def observe_wait(
     state: AgentState,
-    held: Held,
+    queued: QueuedRequest,
     now: float,
 ) -> tuple[AgentEffect, ...]:
     """Measure the queueing time of a request that is sent to the upstream.
 
     Also record whether its last packet was full.
     """
-    waited = Observed('wait_seconds', now - held.came)
+    waited = Observed('wait_seconds', now - queued.arrived_at)
     if not state.features.scheduling:
         return (waited,)
-    note_released(state, held)
-    priority_label = min(held.priority, defaults.PRIORITIES_COUNTED)
+    note_released(state, queued)
+    priority_label = min(queued.priority, defaults.PRIORITIES_COUNTED)
     by_priority = Observed(
-        f'wait_seconds_priority_{priority_label}', now - held.came
+        f'wait_seconds_priority_{priority_label}', now - queued.arrived_at
     )
     return waited, by_priority
 
 
 def _rank(
-    held: Held,
+    queued: QueuedRequest,
     now: float,
     response_time: float,
 ) -> tuple[int, int, float]:
@@ -121,16 +122,21 @@
     by priority and then by the time when their callers leave.  Requests whose
     callers leave before a response come last.
     """
-    if held.is_from_outage:
-        rank = held.rank(now, response_time)
+    if queued.is_from_outage:
+        rank = queued.rank(now, response_time)
         if rank[0] == _RESCUED:
             return rank
     expected_at = now + response_time
     # The mean covers all routes.  Long requests of other routes must not make
     # a request late in the first part of its own time.
     own_response_time = min(
-        response_time, _MAX_DEADLINE_SHARE * (held.in_time - held.came)
+        response_time,
+        _MAX_DEADLINE_SHARE * (queued.deadline - queued.arrived_at),
+    )
+    if now + own_response_time < queued.deadline:
+        return 1, -queued.priority, -queued.deadline
+    return (
+        -int(expected_at >= queued.latest_departure),
+        -queued.priority,
+        -queued.latest_departure,
     )
-    if now + own_response_time < held.in_time:
-        return 1, -held.priority, -held.in_time
-    return -int(expected_at >= held.leaves), -held.priority, -held.leaves
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/rests.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/rests.py
@@ -6,7 +6,7 @@
 queued here.
 """
 
-from keelgap_agent.packets.flows import Flow, Held
+from keelgap_agent.packets.flows import Flow, QueuedRequest
 from keelgap_agent.packets.scheduling import defaults
 from keelgap_agent.packets.state import AgentState
 
@@ -24,9 +24,9 @@
         flow.terms = terms._replace(goes_on=goes_on)
 
 
-def note_released(state: AgentState, held: Held) -> None:
+def note_released(state: AgentState, queued: QueuedRequest) -> None:
     """Record the same for the last packet of a queued request that is sent."""
-    for event in held.packets.values():
+    for event in queued.packets.values():
         datagram = event.envelope.content
         flow = state.flows[state.format.caller_key(datagram)]
         if state.format.sequence(datagram) == flow.caller_sequence:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/server.py
@@ -81,13 +81,13 @@
         )
         # If the upstream runs already, another agent process may have
         # forwarded flows to it.
-        is_older = is_upstream_down(self.upstream)
-        self.state.registrar.is_older = is_older
+        predates_upstream = is_upstream_down(self.upstream)
+        self.state.registrar.predates_upstream = predates_upstream
         self.state.registrar.is_complete = (
-            is_older and settings.upstream.first_start
+            predates_upstream and settings.upstream.first_start
         )
-        if not is_older:
-            self.state.cold.note_other_agent()
+        if not predates_upstream:
+            self.state.warm_up_limiter.assume_full_window()
         self.decisions = DecisionLog(process.lines, process.counters)
         self.upstream_socket = sockets.traffic
         self.peer_socket = sockets.peers
@@ -173,23 +173,23 @@
         return {
             'flows': len(state.flows),
             'busy_requests': state.busy,
-            'waiting_flows': len(state.held),
+            'waiting_flows': len(state.queued),
             'waiting_later_requests': sum(
-                held.is_later for held in state.held.values()
+                queued.is_subsequent for queued in state.queued.values()
             ),
-            'expected_wait_seconds': state.room.pace * len(state.held),
+            'expected_wait_seconds': state.room.pace * len(state.queued),
             'work_milliseconds': state.service_time.milliseconds,
-            'balancers_heard': len(state.balancers.greeted),
+            'balancers_heard': len(state.balancers.subscribers),
             'directory_nodes': len(state.registrar.streams),
-            'directory_flows': len(state.directory.holders),
-            'directory_agents': len(state.directory.members),
+            'directory_flows': len(state.directory.owners),
+            'directory_agents': len(state.directory.agents),
             'directory_covered': len(state.directory.covered),
             'upstream_ejected': state.outcomes.ejection.is_out,
             'upstream_score': state.outcomes.score.compute(self.loop.clock()),
             'upstream_trials': len(state.outcomes.ejection.trials),
             'silent_requests': len(state.outcomes.stuck),
             'zone_out_of_service': state.is_evacuated,
-            'older_than_upstream': state.registrar.is_older,
+            'older_than_upstream': state.registrar.predates_upstream,
             'knows_all_flows': state.registrar.is_complete,
         }
 
@@ -225,7 +225,10 @@
         since = self.state.stopping_since
         if since is None:
             return
-        if not self.state.busy and now - since > defaults.REPORT_IDLE_SECONDS:
+        if (
+            not self.state.busy
+            and now - since > defaults.MAX_REPORT_INTERVAL_SECONDS
+        ):
             self.loop.stop()
-        elif now - since > defaults.STOP_SECONDS:
+        elif now - since > defaults.SHUTDOWN_TIMEOUT_SECONDS:
             self.loop.stop()
--- a/packages/keelgap-agent/src/keelgap_agent/packets/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/state.py
@@ -14,19 +14,19 @@
 from keelgap.packets.formats import PacketFormat
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.balancers import Balancers
-from keelgap_agent.packets.cold import ColdBound
 from keelgap_agent.packets.conf import (
     NO_WARM_UP_SETTINGS,
     WarmUpSettings,
 )
-from keelgap_agent.packets.directory_state import Directory
+from keelgap_agent.packets.directory_state import DirectoryNode
 from keelgap_agent.packets.effects import SendToPeer, SendToUpstream
-from keelgap_agent.packets.flows import Flow, Held
+from keelgap_agent.packets.flows import Flow, QueuedRequest
 from keelgap_agent.packets.outcomes.state import Outcomes
-from keelgap_agent.packets.pace import Pace
+from keelgap_agent.packets.pace import ServiceTimeEstimator
 from keelgap_agent.packets.registrar import Registrar
 from keelgap_agent.packets.room import Room
 from keelgap_agent.packets.scheduling.work import Workload
+from keelgap_agent.packets.warm_up_limiter import WarmUpLimiter
 
 __all__ = ('AgentState',)
 
@@ -41,7 +41,7 @@
         packet_format: PacketFormat,
         service: str,
         now: float,
-        own: str = '',
+        own_host: str = '',
         warm_up: WarmUpSettings = NO_WARM_UP_SETTINGS,
         features: Features = NO_FEATURES,
     ) -> None:
@@ -51,10 +51,10 @@
         self.service_tag = compute_service_tag(service)
         self.balancers = Balancers(now)
         self.flows: dict[bytes, Flow] = {}
-        self.registrar = Registrar(own, now)
-        self.directory = Directory(now)
+        self.registrar = Registrar(own_host, now)
+        self.directory = DirectoryNode(now)
         self.room = Room(now)
-        self.cold = ColdBound(warm_up.excess, warm_up.slack, now)
+        self.warm_up_limiter = WarmUpLimiter(warm_up.excess, warm_up.slack, now)
         self.outcomes = Outcomes(now)
         #: Whether the operators took the availability zone out of service.
         self.is_evacuated = False
@@ -63,16 +63,16 @@
         self.work = Workload()
         #: Requests that wait for a free slot, and new flows whose first request
         #: has not arrived, by flow key.
-        self.held: dict[bytes, Held] = {}
-        self.slots = defaults.FIRST_SLOTS
+        self.queued: dict[bytes, QueuedRequest] = {}
+        self.slots = defaults.INITIAL_SLOTS
         #: Moving average of the time to an answer; 0 before the first one.
         self.answer_seconds: float = 0
-        self.service_time = Pace()
+        self.service_time = ServiceTimeEstimator()
         #: When the last opening packet arrived.
-        self.opening_at = float('-inf')
+        self.last_opening_at = float('-inf')
         #: When the first opening packet arrived after a pause without any,
         #: which is taken for an outage.
-        self.resumed_at = now
+        self.traffic_resumed_at = now
         #: Revision of the latest store change that a balancer reported.
         self.latest_change = 0
         #: When a balancer last reported that entries may be missing, since it
@@ -81,7 +81,7 @@
         self.stopping_since: float | None = None
         self.swept_at = now
 
-    def judge_anew(self, now: float) -> None:
+    def reset_outcomes(self, now: float) -> None:
         """Reset outcomes and service time, after another upstream started."""
         for flow in self.flows.values():
             flow.work = None
@@ -89,7 +89,7 @@
         self.outcomes = Outcomes(now)
         self.outcomes.given_up = given_up
         self.outcomes.has_news = self.features.ejection
-        self.service_time = Pace()
+        self.service_time = ServiceTimeEstimator()
 
     def change_service(self, service: str, now: float) -> None:
         """Accept packets of this service only, from now on.
@@ -104,10 +104,10 @@
         if tag == self.service_tag:
             return
         self.service_tag = tag
-        self.registrar.forget_directory()
-        self.directory = Directory(now)
+        self.registrar.reset_directory()
+        self.directory = DirectoryNode(now)
 
-    def note_stamp(self, stamp: Stamp, now: float) -> None:
+    def record_stamp(self, stamp: Stamp, now: float) -> None:
         """Record what a balancer knows of the store, to pass it on."""
         self.latest_change = max(self.latest_change, stamp.latest_change)
         if stamp.may_lack_entries:
@@ -121,13 +121,13 @@
     def make_report(self) -> LoadReport:
         """Return the current load report for balancers."""
         return LoadReport(
-            busy=self.busy + len(self.held),
+            busy=self.busy + len(self.queued),
             flows=len(self.flows),
             answer_ms=int(self.answer_seconds * _MILLISECONDS),
             closed=self.stopping_since is not None or self.is_evacuated,
             is_ejected=self.outcomes.ejection.is_out,
             wants_trial=self.outcomes.ejection.wants_trial,
-            waiting=len(self.held),
+            waiting=len(self.queued),
             work_ms=self.service_time.milliseconds,
         )
 
@@ -142,11 +142,11 @@
         envelope = Envelope(kind, hop, 0, 0, 0, self.service_tag, content)
         return SendToPeer(host, envelope)
 
-    def give_back(
+    def return_to_balancer(
         self,
         host: str,
         envelope: Envelope,
-        room_ms: int = 0,
+        start_ms: int = 0,
     ) -> SendToPeer:
         """Return the effect that returns a packet to its balancer.
 
@@ -159,10 +159,12 @@
             envelope.content,
             envelope.hop,
         )
-        returned = miss.envelope._replace(left_ms=room_ms)
+        returned = miss.envelope._replace(left_ms=start_ms)
         return miss._replace(envelope=returned)
 
-    def pass_on(self, host: str, envelope: Envelope) -> SendToUpstream:
+    def forward_to_upstream(
+        self, host: str, envelope: Envelope
+    ) -> SendToUpstream:
         """Return the effect that forwards a packet to the upstream.
 
         The packet is marked, so that a bounce can be returned to the balancer.
@@ -183,20 +185,20 @@
         instead, which also accounts for overdue requests.
         """
         in_progress = self.busy - self.outcomes.count_stuck()
-        return in_progress < self.slots + defaults.EXTRA_SLOTS
+        return in_progress < self.slots + defaults.PREFETCH_COUNT
 
-    def note_opening(self, now: float) -> None:
+    def record_opening(self, now: float) -> None:
         """Record an opening packet, which may be the first after an outage."""
-        if now - self.opening_at > defaults.OUTAGE_SECONDS:
-            self.resumed_at = now
-        self.opening_at = now
+        if now - self.last_opening_at > defaults.OUTAGE_PAUSE_SECONDS:
+            self.traffic_resumed_at = now
+        self.last_opening_at = now
 
-    def note_data(self, flow: Flow, sequence: int, now: float) -> bool:
+    def record_data(self, flow: Flow, sequence: int, now: float) -> bool:
         """Record data of a caller; return whether it is new.
 
         Retransmitted data does not count as a new request.
         """
-        if not flow.is_ahead(sequence):
+        if not flow.is_new_sequence(sequence):
             return False
         flow.caller_sequence = sequence
         if flow.ended:
@@ -208,7 +210,7 @@
         """Record that the upstream works on a request of a flow."""
         if flow.busy_since is None:
             flow.busy_since = now
-            flow.found_busy = self.busy
+            flow.busy_on_arrival = self.busy
             self.work.flows[flow] = None
 
     def end_request(self, flow: Flow, now: float) -> None:
@@ -217,18 +219,18 @@
             return
         duration = now - flow.busy_since
         # The first answer of all initializes the average.
-        weight = defaults.ANSWER_WEIGHT if self.answer_seconds else 1
+        weight = defaults.ANSWER_TIME_WEIGHT if self.answer_seconds else 1
         self.answer_seconds += weight * (duration - self.answer_seconds)
         self.cancel_request(flow)
         self.room.note_answer(now, is_full=self.busy >= self.slots)
 
-    def note_work(self, flow: Flow, datagram: bytes, now: float) -> None:
+    def record_work(self, flow: Flow, datagram: bytes, now: float) -> None:
         """Update the service time from an answer that is not an error."""
         if not self.features.placement or flow.busy_since is None:
             return
-        if self.format.read_status(datagram) < defaults.FIRST_UNSERVED_STATUS:
+        if self.format.read_status(datagram) < defaults.FIRST_ERROR_STATUS:
             duration = now - flow.busy_since
-            self.service_time.note(duration, flow.found_busy, self.slots)
+            self.service_time.record(duration, flow.busy_on_arrival, self.slots)
 
     def cancel_request(self, flow: Flow) -> None:
         """Record that the upstream no longer works on the request of a flow."""
@@ -241,7 +243,7 @@
 
     def forget(self, key: bytes) -> None:
         """Remove a flow and everything recorded about it."""
-        self.held.pop(key, None)
+        self.queued.pop(key, None)
         self.outcomes.forget(key)
         flow = self.flows.pop(key, None)
         if flow is not None:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/untold.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/untold.py
@@ -12,80 +12,80 @@
 from keelgap.packets.envelopes import CallerWait, EnvelopeKind
 from keelgap.packets.openings import OPENING_SECONDS
 from keelgap_agent.packets import defaults
-from keelgap_agent.packets.admission import take_opening
+from keelgap_agent.packets.admission import admit_opening
 from keelgap_agent.packets.effects import AgentEffect, Decided
 from keelgap_agent.packets.events import EnvelopeArrived
 from keelgap_agent.packets.state import AgentState
 
 __all__ = (
-    'ask_again',
-    'hold_untold',
-    'is_untold',
-    'release_untold',
+    'retry_notice_request',
+    'queue_opening',
+    'awaits_first_notice',
+    'release_openings',
 )
 
 Effects = tuple[AgentEffect, ...]
 _MILLISECONDS: Final = 1000
 
 
-def is_untold(state: AgentState) -> bool:
+def awaits_first_notice(state: AgentState) -> bool:
     """Return whether no balancer has sent a notice yet."""
-    return bool(state.registrar.own) and not state.registrar.is_greeted
+    return bool(state.registrar.own_host) and not state.registrar.has_notice
 
 
-def hold_untold(
+def queue_opening(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
     """Queue an opening packet and request a notice from its balancer."""
-    untold = state.registrar.untold
-    is_copy = key in untold
-    if len(untold) >= defaults.MAX_UNTOLD and not is_copy:
+    pending_openings = state.registrar.pending_openings
+    is_copy = key in pending_openings
+    if len(pending_openings) >= defaults.MAX_PENDING_OPENINGS and not is_copy:
         # Its caller retransmits it.
         return (Decided('untold_full'),)
-    untold[key] = event
+    pending_openings[key] = event
     logged = () if is_copy else _log_queued(state, key, event)
     return (*_request_notice(state, event.sender, event.now), *logged)
 
 
-def ask_again(state: AgentState, now: float) -> Effects:
+def retry_notice_request(state: AgentState, now: float) -> Effects:
     """Request the notice again and drop openings of callers that gave up.
 
     The request or its reply may have been lost, or the balancer may be down, so
     the sender of the latest opening packet is asked.
     """
-    untold = state.registrar.untold
+    pending_openings = state.registrar.pending_openings
     expired = [
         key
-        for key, event in untold.items()
+        for key, event in pending_openings.items()
         if now - event.now > OPENING_SECONDS
     ]
     for key in expired:
-        untold.pop(key)
+        pending_openings.pop(key)
     dropped = tuple(Decided('drop_untold') for _ in expired)
-    if not untold:
+    if not pending_openings:
         return dropped
-    latest = max(untold.values(), key=lambda event: event.now)
+    latest = max(pending_openings.values(), key=lambda event: event.now)
     return (*dropped, *_request_notice(state, latest.sender, now))
 
 
-def release_untold(state: AgentState, now: float) -> Effects:
+def release_openings(state: AgentState, now: float) -> Effects:
     """Admit the opening packets that waited for a notice."""
-    untold = state.registrar.untold
-    state.registrar.untold = {}
+    pending_openings = state.registrar.pending_openings
+    state.registrar.pending_openings = {}
     return tuple(
         effect
-        for key, event in untold.items()
-        for effect in take_opening(state, key, _shift_to_now(event, now))
+        for key, event in pending_openings.items()
+        for effect in admit_opening(state, key, _shift_to_now(event, now))
     )
 
 
 def _request_notice(state: AgentState, balancer: str, now: float) -> Effects:
     registrar = state.registrar
-    if now - registrar.asked_at < defaults.ASK_NOTICE_SECONDS:
+    if now - registrar.notice_requested_at < defaults.NOTICE_RETRY_SECONDS:
         return ()
-    registrar.asked_at = now
+    registrar.notice_requested_at = now
     return (state.send(balancer, EnvelopeKind.ASK, b''),)
 
 
@@ -111,6 +111,6 @@
         'flow': state.format.describe_key(key),
         'hop': event.envelope.hop,
         'asked': event.sender,
-        'age': round(event.now - state.registrar.began, 3),
+        'age': round(event.now - state.registrar.started_at, 3),
     }
     return (Decided('held_untold', fields),)
--- a/tests/packets/machine.py
+++ b/tests/packets/machine.py
@@ -384,12 +384,12 @@
     @rule(data=st.data(), host=st.sampled_from(BALANCERS))
     def find_again(self, data: st.DataObject, host: str) -> None:
         """An open flow reaches its upstream through any balancer."""
-        held = [key for key in sorted(self.flows) if self._find_holders(key)]
-        if not held:
+        queued = [key for key in sorted(self.flows) if self._find_holders(key)]
+        if not queued:
             return
         self.deliver_all()
         self.learn(host)
-        key = data.draw(st.sampled_from(held))
+        key = data.draw(st.sampled_from(queued))
         for _ in range(2 * len(self.hosts) + 2):
             self.reached: list[bytes] = []
             packet = make_packet(self.flows[key], ACK, data=b'GET')
@@ -439,15 +439,17 @@
                 flow.busy_since is not None for flow in agent.flows.values()
             )
             assert agent.busy == busy  # noqa: S101
-            most = agent.slots * agent_defaults.HELD_PER_SLOT
-            assert len(agent.held) <= most  # noqa: S101
+            most = agent.slots * agent_defaults.MAX_QUEUED_PER_SLOT
+            assert len(agent.queued) <= most  # noqa: S101
 
     @invariant()
     def work_is_not_held_back(self) -> None:
         """A request waits only for room, and only with its flow."""
         for agent in getattr(self, 'agents', {}).values():
-            assert agent.held.keys() <= agent.flows.keys()  # noqa: S101
-            ready = [key for key, held in agent.held.items() if held.packets]
+            assert agent.queued.keys() <= agent.flows.keys()  # noqa: S101
+            ready = [
+                key for key, queued in agent.queued.items() if queued.packets
+            ]
             assert not (ready and agent.has_room)  # noqa: S101
 
     def _find_holders(self, key: bytes) -> list[str]:
@@ -526,7 +528,7 @@
         same_service = former and former.row.service == later.service
         if not (keeps_agent and same_service):
             agent = self._make_agent(later.service, host)
-            agent.registrar.is_older = self.agents_start_first
+            agent.registrar.predates_upstream = self.agents_start_first
             self.agents[host] = agent
         self.listed[later.upstream_id] = later
 
@@ -656,7 +658,7 @@
     def _send(self, host: str, packet: bytes) -> None:
         key = FORMAT.caller_key(packet)
         silent = self.now - self.sent_at.get(key, self.now)
-        if silent > agent_defaults.FLOW_SECONDS:
+        if silent > agent_defaults.IDLE_FLOW_SECONDS:
             self.expired.add(key)
         self.sent_at[key] = self.now
         event = balancer_events.CallerPacket(self.now, packet)
--- a/tests/packets/test_after_outage.py
+++ b/tests/packets/test_after_outage.py
@@ -218,7 +218,7 @@
         Found on fjordflis-tiles trouble-2: latest first left 125 callers of
         an outage without any answer while upstreams were free 2 s later.
         """
-        self.assertGreater(1000 * agent_defaults.RESCUE_SECONDS, 250)
+        self.assertGreater(1000 * agent_defaults.LAST_CHANCE_SECONDS, 250)
         self.ask(50, CallerWait(0, 2500, 2500))
         self.ask(51, CallerWait(900, 250, 250), left_ms=-700)
         self.ask(52, CallerWait(1000, 150, 150), left_ms=-800)
@@ -235,7 +235,7 @@
         Else all would be late, and nobody more would be served.
         """
         for port in range(60, 64):
-            self.now += agent_defaults.OUTAGE_SECONDS / 2
+            self.now += agent_defaults.OUTAGE_PAUSE_SECONDS / 2
             self.ask(port, CallerWait(0, 100, 100))
         self.ask(51, CallerWait(300, 250, 250), left_ms=-100)
         self.ask(50, CallerWait(0, 2500, 2500), left_ms=5000)
@@ -248,7 +248,7 @@
         first left one caller in ten of a burst without any answer.
         """
         for port in range(60, 64):
-            self.now += agent_defaults.OUTAGE_SECONDS / 2
+            self.now += agent_defaults.OUTAGE_PAUSE_SECONDS / 2
             self.ask(port, CallerWait(0, 100, 100))
         self.now += 0.15
         self.state.answer_seconds = 0.2
--- a/tests/packets/test_agent.py
+++ b/tests/packets/test_agent.py
@@ -43,7 +43,7 @@
 BALANCER = '10.1.0.1'
 TAG = compute_service_tag('board')
 SLOTS = 3
-ROOM = SLOTS + defaults.EXTRA_SLOTS
+ROOM = SLOTS + defaults.PREFETCH_COUNT
 
 
 class AgentTestCase(TestCase):
@@ -302,10 +302,10 @@
         ends = make_packet(FLOW._replace(port=50), FIN | ACK)
         (passed,) = self.hear(EnvelopeKind.FORWARD, ends)
         self.assertIsInstance(passed, SendToUpstream)
-        self.assertEqual(list(self.state.held), [FLOW._replace(port=51).key])
+        self.assertEqual(list(self.state.queued), [FLOW._replace(port=51).key])
         self.now += 0.51
         self.take(TimerFired(self.now))
-        self.assertEqual(self.state.held, {})
+        self.assertEqual(self.state.queued, {})
         self.assertEqual(self.list_passed(self.serve(0, data=b'a')), [])
 
     def test_full_queue_gives_what_comes_back(self) -> None:
@@ -314,14 +314,14 @@
         What waits already is open towards its caller and stays.
         """
         self.fill()
-        most = SLOTS * defaults.HELD_PER_SLOT
+        most = SLOTS * defaults.MAX_QUEUED_PER_SLOT
         for port in range(100, 100 + most):
             self.ask(port)
         (miss,) = self.open(99, left_ms=5000)
         packet = make_packet(FLOW._replace(port=99), SYN)
         self.assertEqual(miss.envelope.kind, EnvelopeKind.MISS)
         self.assertEqual(miss.envelope.content, packet)
-        self.assertEqual(len(self.state.held), most)
+        self.assertEqual(len(self.state.queued), most)
 
     def test_request_in_several_packets_is_passed_on_whole(self) -> None:
         """In its own order, however it came."""
@@ -344,11 +344,11 @@
         """A caller sends 16 without an answer."""
         self.fill()
         self.open(50)
-        for seq in range(3 * defaults.MAX_HELD_PACKETS):
+        for seq in range(3 * defaults.MAX_QUEUED_PACKETS):
             data = make_packet(FLOW._replace(port=50), ACK, seq=seq, data=b'x')
             self.hear(EnvelopeKind.FORWARD, data)
-        (held,) = self.state.held.values()
-        self.assertEqual(len(held.packets), defaults.MAX_HELD_PACKETS)
+        (queued,) = self.state.queued.values()
+        self.assertEqual(len(queued.packets), defaults.MAX_QUEUED_PACKETS)
 
     def test_search_finds_a_flow_whose_request_waits(self) -> None:
         """The upstream cannot show it yet; a denial would end in a reset."""
@@ -396,10 +396,10 @@
         self.open(2)
         self.open(3)
         self.serve(3)
-        self.now += defaults.OFFER_SECONDS + 0.1
+        self.now += defaults.UNANSWERED_OPENING_SECONDS + 0.1
         self.take(TimerFired(self.now))
         self.assertEqual(list(self.state.flows), [FLOW._replace(port=3).key])
-        self.now += defaults.FLOW_SECONDS
+        self.now += defaults.IDLE_FLOW_SECONDS
         self.take(TimerFired(self.now))
         self.assertEqual(self.state.flows, {})
 
@@ -418,7 +418,7 @@
             self.open(port)
             data = make_packet(FLOW._replace(port=port), ACK, data=b'x')
             self.hear(EnvelopeKind.FORWARD, data)
-        self.assertEqual(len(self.state.held), 1)
+        self.assertEqual(len(self.state.queued), 1)
         passed, report = self.take(StopRequested(self.now))
         self.assertIsInstance(passed, SendToUpstream)
         self.assertEqual(report.envelope.kind, EnvelopeKind.REPORT)
@@ -439,9 +439,9 @@
     def test_reports_stop_for_balancers_that_stopped_asking(self) -> None:
         """They may be gone for good."""
         self.hear(EnvelopeKind.HELLO, b'')
-        self.now += defaults.REPORT_IDLE_SECONDS
+        self.now += defaults.MAX_REPORT_INTERVAL_SECONDS
         self.assertEqual(len(self.take(TimerFired(self.now))), 1)
-        self.now += defaults.SUBSCRIBED_SECONDS
+        self.now += defaults.SUBSCRIPTION_SECONDS
         self.assertEqual(self.take(TimerFired(self.now)), [])
 
 
@@ -453,7 +453,7 @@
 
         Found on edspa-keelgap scale-2: 0.036 GB between zones, not 0.009.
         """
-        late = defaults.REPORT_IDLE_SECONDS + defaults.TIMER_SECONDS
+        late = defaults.MAX_REPORT_INTERVAL_SECONDS + defaults.TIMER_SECONDS
         self.assertLess(late, balancer_defaults.QUIET_SECONDS)
         self.assertLess(
             balancer_defaults.QUIET_SECONDS,
@@ -464,5 +464,5 @@
         """A lost greeting does not end them."""
         self.assertLess(
             balancer_defaults.HELLO_SECONDS * 2,
-            defaults.SUBSCRIBED_SECONDS,
+            defaults.SUBSCRIPTION_SECONDS,
         )
--- a/tests/packets/test_cold.py
+++ b/tests/packets/test_cold.py
@@ -10,7 +10,7 @@
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap.packets.notices import UpstreamNotice, pack_notice
 from keelgap_agent.packets import defaults
-from keelgap_agent.packets.cold import ColdBound
+from keelgap_agent.packets.cold import WarmUpLimiter
 from keelgap_agent.packets.conf import WarmUpSettings
 from keelgap_agent.packets.effects import SendToUpstream
 from keelgap_agent.packets.state import AgentState
@@ -30,13 +30,13 @@
 
     def test_no_second_has_more_than_the_bound(self) -> None:
         """Whatever the offers, whenever the second begins."""
-        bound = ColdBound(EXCESS, SLACK, 0)
-        bound.take(PER_SECOND, until=10)
+        bound = WarmUpLimiter(EXCESS, SLACK, 0)
+        bound.configure(PER_SECOND, warm_at=10)
         passed = []
         for step in range(1000):
             now = step / 100
-            if not bound.is_full(now):
-                bound.note_passed(now)
+            if not bound.is_at_limit(now):
+                bound.record_flow(now)
                 passed.append(now)
         for begin in passed:
             second = [one for one in passed if begin <= one <= begin + 1]
@@ -46,28 +46,28 @@
 
     def test_where_no_rate_is_stated_there_is_no_bound(self) -> None:
         """A rate of nothing at all would refuse what can be served."""
-        bound = ColdBound(EXCESS, SLACK, 0)
-        bound.take(0, until=10)
+        bound = WarmUpLimiter(EXCESS, SLACK, 0)
+        bound.configure(0, warm_at=10)
         for _ in range(100):
-            self.assertFalse(bound.is_full(1))
-            bound.note_passed(1)
+            self.assertFalse(bound.is_at_limit(1))
+            bound.record_flow(1)
 
     def test_a_warm_upstream_has_no_bound(self) -> None:
         """From the moment on that its report named."""
-        bound = ColdBound(EXCESS, SLACK, 0)
-        bound.take(PER_SECOND, until=2)
+        bound = WarmUpLimiter(EXCESS, SLACK, 0)
+        bound.configure(PER_SECOND, warm_at=2)
         for _ in range(MOST):
-            bound.note_passed(1.9)
-        self.assertTrue(bound.is_full(1.95))
-        self.assertFalse(bound.is_full(2))
+            bound.record_flow(1.9)
+        self.assertTrue(bound.is_at_limit(1.95))
+        self.assertFalse(bound.is_at_limit(2))
 
     def test_an_agent_that_begins_does_not_know_what_was_passed(self) -> None:
         """Another agent may have filled the present second."""
-        bound = ColdBound(EXCESS, SLACK, 5)
-        bound.note_other_agent()
-        bound.take(PER_SECOND, until=10)
-        self.assertTrue(bound.is_full(5))
-        self.assertFalse(bound.is_full(5 + defaults.COLD_WINDOW_SECONDS))
+        bound = WarmUpLimiter(EXCESS, SLACK, 5)
+        bound.assume_full_window()
+        bound.configure(PER_SECOND, warm_at=10)
+        self.assertTrue(bound.is_at_limit(5))
+        self.assertFalse(bound.is_at_limit(5 + defaults.WARM_UP_WINDOW_SECONDS))
 
 
 class AgentTests(test_agent.AgentTestCase):
@@ -103,7 +103,7 @@
         self.assertEqual(self.count_passed(1, 50), MOST)
         self.now += 0.5
         self.assertEqual(self.count_passed(100, 50), 0)
-        self.now += defaults.COLD_WINDOW_SECONDS
+        self.now += defaults.WARM_UP_WINDOW_SECONDS
         self.assertEqual(self.count_passed(200, 50), MOST)
         self.now += 0.5
         self.assertEqual(self.count_passed(300, 50), 50)
--- a/tests/packets/test_directory.py
+++ b/tests/packets/test_directory.py
@@ -251,13 +251,13 @@
         """Its upstream holds flows that another agent passed on."""
         registration = self.notice(is_young=False)[0]
         self.assertFalse(registration.is_complete)
-        self.now += agent_defaults.FLOW_LIFE_SECONDS
+        self.now += agent_defaults.MAX_FLOW_AGE_SECONDS
         self.take(TimerFired(self.now))
         self.assertTrue(self.state.registrar.is_complete)
 
     def test_agent_older_than_its_upstream_knows_all(self) -> None:
         """As on a machine that is added: nothing ran when it began."""
-        self.state.registrar.is_older = True
+        self.state.registrar.predates_upstream = True
         registration = self.notice(is_young=True)[0]
         self.assertTrue(registration.is_complete)
 
@@ -270,14 +270,14 @@
 
     def test_upstream_that_only_stopped_to_listen_is_no_younger(self) -> None:
         """One that leaves may hold flows though it takes no probe."""
-        self.state.registrar.is_older = True
+        self.state.registrar.predates_upstream = True
         registration = self.notice(is_young=False)[0]
         self.assertFalse(registration.is_complete)
 
     def test_lines_tell_why_it_knows_all_flows(self) -> None:
         """And when it was told where to register them."""
         self.now += 0.5
-        self.state.registrar.is_older = True
+        self.state.registrar.predates_upstream = True
         self.notice(is_young=True)
         reason, told = (one.fields or {} for one in self.told)
         self.assertEqual(reason['reason'], 'older_than_upstream')
@@ -288,7 +288,7 @@
         self,
     ) -> None:
         """It is older than both."""
-        self.state.registrar.is_older = True
+        self.state.registrar.predates_upstream = True
         self.notice(is_young=True)
         self.notice(is_young=False, upstream_tag=2, upstream_revision=2)
         self.assertTrue(self.state.registrar.is_complete)
@@ -316,7 +316,7 @@
     def test_silence_is_broken_each_second(self) -> None:
         """Else a lost registration would not show."""
         self.notice()
-        self.now += agent_defaults.REGISTER_SECONDS
+        self.now += agent_defaults.REGISTER_INTERVAL_SECONDS
         registered = self.read(self.take(TimerFired(self.now)))
         self.assertEqual([one.keys for one in registered], [(), ()])
 
@@ -344,7 +344,7 @@
 
     def list_covered(self) -> frozenset[str]:
         """Return for whom it speaks."""
-        self.now += agent_defaults.COUNT_SECONDS
+        self.now += agent_defaults.COVERAGE_UPDATE_SECONDS
         self.look_up()
         return self.state.directory.covered
 
@@ -366,7 +366,7 @@
         self.assertEqual(self.list_covered(), {OWN})
         self.register(sequence=1, end=2)
         self.assertEqual(self.list_covered(), frozenset())
-        self.now += agent_defaults.LAG_SECONDS
+        self.now += agent_defaults.RESYNC_DELAY_SECONDS
         effects = self.take(TimerFired(self.now))
         asked = [one for one in effects if isinstance(one, SendToPeer)]
         self.assertEqual(asked[0].envelope.kind, EnvelopeKind.RESYNC)
@@ -383,7 +383,7 @@
     def test_silent_agent_is_not_spoken_for(self) -> None:
         """It may be cut off here, and open flows for others."""
         self.register()
-        self.now += agent_defaults.COVERED_SECONDS + 0.1
+        self.now += agent_defaults.COVERAGE_TIMEOUT_SECONDS + 0.1
         self.assertEqual(self.list_covered(), frozenset())
         self.assertEqual(self.look_up(), ())
 
@@ -393,13 +393,13 @@
         Whom a node covers is counted anew after a moment only.
         """
         self.register()
-        self.now += agent_defaults.COVERED_SECONDS
-        self.now -= agent_defaults.COUNT_SECONDS * 1.2
+        self.now += agent_defaults.COVERAGE_TIMEOUT_SECONDS
+        self.now -= agent_defaults.COVERAGE_UPDATE_SECONDS * 1.2
         self.assertEqual(self.list_covered(), {OWN})
-        self.now += agent_defaults.COUNT_SECONDS / 2
+        self.now += agent_defaults.COVERAGE_UPDATE_SECONDS / 2
         self.assertEqual(self.look_up(), (OWN,))
         self.assertEqual(self.state.directory.covered, {OWN})
-        self.now += agent_defaults.COUNT_SECONDS
+        self.now += agent_defaults.COVERAGE_UPDATE_SECONDS
         self.assertEqual(self.look_up(), ())
         self.assertEqual(self.state.directory.covered, frozenset())
 
@@ -446,7 +446,7 @@
         question = pack_question(Question(0, (FLOW.key,)))
         self.hear(BALANCER, EnvelopeKind.LOOKUP, question)
         self.register(boot=2)
-        self.now += agent_defaults.COUNT_SECONDS
+        self.now += agent_defaults.COVERAGE_UPDATE_SECONDS
         self.hear(BALANCER, EnvelopeKind.LOOKUP, question)
         names = [one.name for one in self.told]
         self.assertEqual(
--- a/tests/packets/test_directory_oracle.py
+++ b/tests/packets/test_directory_oracle.py
@@ -30,13 +30,13 @@
 
 def claim_completeness(state: Any, notice: Any) -> str:
     """Stand in for an agent that says it knows all flows, however young."""
-    note_upstream(state, notice)
+    record_upstream(state, notice)
     was_complete = state.registrar.is_complete
     state.registrar.is_complete = True
     return '' if was_complete else 'claimed'
 
 
-note_upstream = registration.note_upstream
+record_upstream = registration.record_upstream
 list_unspoken = verdicts._list_unspoken  # noqa: WPS437
 begin_stream = registration._begin_stream  # noqa: WPS437
 
@@ -53,7 +53,7 @@
     ),
     'a young agent that claims to know all flows': (
         notices,
-        'note_upstream',
+        'record_upstream',
         claim_completeness,
     ),
 }
--- a/tests/packets/test_ejection.py
+++ b/tests/packets/test_ejection.py
@@ -274,7 +274,7 @@
         flows = [world.open() for _ in range(8)]
         for flow in flows:
             world.send_request(flow)
-        self.assertGreater(len(world.agents[host].held), 2)
+        self.assertGreater(len(world.agents[host].queued), 2)
         begun: dict[FlowName, float] = {}
         for _ in range(round((3 * seconds + 1) / 0.05)):
             at_work = world.agents[host].work.flows
@@ -405,7 +405,7 @@
         flows = [world.open() for _ in range(24)]
         for flow in flows:
             world.send_request(flow)
-        self.assertGreater(len(world.agents[host].held), 4)
+        self.assertGreater(len(world.agents[host].queued), 4)
         world.upstreams[host].treatment = fail_all('mute')
         for _ in range(8):
             for _ in range(4):
@@ -635,7 +635,7 @@
                 view.picks = 0 if view.host == chosen else 50
             world.send(balancer, make_packet(flow, SYN))
         self.assertIn(flow.key, world.upstreams[other].open)
-        self.assertIn(flow.key, world.agents[host].held)
+        self.assertIn(flow.key, world.agents[host].queued)
         request = make_packet(flow, ACK, ack=1001, data=b'GET')
         world.send(balancers[1], request)
         self.assertEqual(world.read_end(flow), 'silent')
--- a/tests/packets/test_expired_flows.py
+++ b/tests/packets/test_expired_flows.py
@@ -34,4 +34,4 @@
 
     def test_bound_is_the_platforms(self) -> None:
         """Flows older than 60 s may be discarded."""
-        self.assertGreaterEqual(defaults.FLOW_SECONDS, 60)
+        self.assertGreaterEqual(defaults.IDLE_FLOW_SECONDS, 60)
--- a/tests/packets/test_oracle.py
+++ b/tests/packets/test_oracle.py
@@ -128,7 +128,7 @@
     return ()
 
 
-take_packet = agent_reducer._take_packet  # noqa: WPS437
+take_packet = agent_reducer._handle_packet  # noqa: WPS437
 release = admission._release  # noqa: WPS437
 
 
@@ -142,7 +142,7 @@
     'a wrong count of work': (admission, '_release', count_twice),
     'a request that waits for nothing': (
         admission,
-        'release_held',
+        'release_queued',
         release_nothing,
     ),
     'a request without its flow': (AgentState, 'forget', forget_only_the_flow),
--- a/tests/packets/test_pace.py
+++ b/tests/packets/test_pace.py
@@ -8,7 +8,7 @@
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.events import EnvelopeArrived, UpstreamPacket
 from keelgap_agent.packets.flows import Flow
-from keelgap_agent.packets.pace import Pace
+from keelgap_agent.packets.pace import ServiceTimeEstimator
 from keelgap_agent.packets.reducer import reduce
 from keelgap_agent.packets.state import AgentState
 from tests.packets.building import ACK, FIN, FORMAT, FlowName, make_packet
@@ -24,40 +24,40 @@
 
     def test_free_slots(self) -> None:
         """The time of a request that found one is its work."""
-        pace = Pace()
+        pace = ServiceTimeEstimator()
         for _ in range(40):
-            pace.note(0.05, before=1, slots=2)
+            pace.record(0.05, busy_on_arrival=1, slots=2)
         self.assertEqual(pace.milliseconds, 50)
 
     def test_queue(self) -> None:
         """Four requests before it at two slots: it waited for a while."""
-        pace = Pace()
+        pace = ServiceTimeEstimator()
         for _ in range(40):
-            pace.note(0.05 * 2.5, before=4, slots=2)
+            pace.record(0.05 * 2.5, busy_on_arrival=4, slots=2)
         self.assertEqual(pace.milliseconds, 50)
 
     def test_unknown_at_first(self) -> None:
         """A single long request sends nobody away."""
-        pace = Pace()
-        for _ in range(defaults.FEWEST_PACE_SAMPLES - 1):
-            pace.note(0.5, before=0, slots=2)
+        pace = ServiceTimeEstimator()
+        for _ in range(defaults.MIN_SERVICE_TIME_SAMPLES - 1):
+            pace.record(0.5, busy_on_arrival=0, slots=2)
         self.assertEqual(pace.milliseconds, 0)
 
     def test_one_long_request(self) -> None:
         """One of thirty runs for ten times as long."""
-        pace = Pace()
+        pace = ServiceTimeEstimator()
         for _ in range(32):
-            pace.note(0.05, before=0, slots=2)
-        pace.note(0.5, before=0, slots=2)
+            pace.record(0.05, busy_on_arrival=0, slots=2)
+        pace.record(0.5, busy_on_arrival=0, slots=2)
         self.assertLess(pace.milliseconds, 56)
 
     def test_turns_slow(self) -> None:
         """An upstream that takes five times as long is known in a while."""
-        pace = Pace()
+        pace = ServiceTimeEstimator()
         for _ in range(32):
-            pace.note(0.05, before=0, slots=2)
+            pace.record(0.05, busy_on_arrival=0, slots=2)
         for _ in range(20):
-            pace.note(0.25, before=0, slots=2)
+            pace.record(0.25, busy_on_arrival=0, slots=2)
         self.assertGreater(pace.milliseconds, 110)
 
 
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -173,7 +173,7 @@
         After an outage of everything: verdicts of all balancers
         waited for the next registration, a second later.
         """
-        self.state.registrar.is_older = True
+        self.state.registrar.predates_upstream = True
         self.notice()
         registered = self.notice(
             upstream_tag=2,
@@ -185,41 +185,41 @@
 
     def test_node_that_began_later_hears_within_a_moment(self) -> None:
         """The first registration came before its socket was open."""
-        self.state.registrar.is_older = True
+        self.state.registrar.predates_upstream = True
         self.notice(is_young=True)
-        self.now += 1.1 * agent_defaults.FIRST_REGISTER_SECONDS
+        self.now += 1.1 * agent_defaults.STARTUP_REGISTER_SECONDS
         registered = self.read(self.take(AgentTimerFired(self.now)))
         told = [one.is_complete for one in registered]
         self.assertEqual(told, [True, True])
 
     def test_registrations_are_few_after_the_first_second(self) -> None:
         """One a second shows that none was lost."""
-        self.state.registrar.is_older = True
+        self.state.registrar.predates_upstream = True
         self.notice(is_young=True)
-        self.now += agent_defaults.REGISTER_SECONDS
+        self.now += agent_defaults.REGISTER_INTERVAL_SECONDS
         self.take(AgentTimerFired(self.now))
-        self.now += 2 * agent_defaults.FIRST_REGISTER_SECONDS
+        self.now += 2 * agent_defaults.STARTUP_REGISTER_SECONDS
         self.assertEqual(self.read(self.take(AgentTimerFired(self.now))), [])
 
     def test_renewed_stream_is_no_first_second(self) -> None:
         """Nodes that run for long have missed nothing."""
-        self.state.registrar.is_older = True
+        self.state.registrar.predates_upstream = True
         self.notice(is_young=True)
-        self.now += agent_defaults.RENEW_SECONDS
+        self.now += agent_defaults.STREAM_RENEWAL_SECONDS
         renewed = self.read(self.take(AgentTimerFired(self.now)))
         self.assertEqual(len(renewed), 2)
-        self.now += 2 * agent_defaults.FIRST_REGISTER_SECONDS
+        self.now += 2 * agent_defaults.STARTUP_REGISTER_SECONDS
         self.assertEqual(self.read(self.take(AgentTimerFired(self.now))), [])
 
     def test_changed_directory_is_no_first_second(self) -> None:
         """Each change of the shards begins all streams anew."""
-        self.state.registrar.is_older = True
+        self.state.registrar.predates_upstream = True
         self.notice(is_young=True)
-        self.now += agent_defaults.REGISTER_SECONDS
+        self.now += agent_defaults.REGISTER_INTERVAL_SECONDS
         other = next(host for host in HOSTS if host not in {*NODES, OWN})
         moved = ((FIRST, other),)
         self.assertEqual(len(self.notice(revision=6, shards=moved)), 2)
-        self.now += 2 * agent_defaults.FIRST_REGISTER_SECONDS
+        self.now += 2 * agent_defaults.STARTUP_REGISTER_SECONDS
         self.assertEqual(self.read(self.take(AgentTimerFired(self.now))), [])
 
     def test_large_directories_get_no_more_at_once(self) -> None:
@@ -227,7 +227,7 @@
         hosts = [f'10.0.{one // 250}.{one % 250}' for one in range(1000)]
         shards = make_directory(7, hosts, defaults.MAX_ASKED).shards
         self.notice(is_young=True, revision=7, shards=shards)
-        self.now += 4 * agent_defaults.FIRST_REGISTER_SECONDS
+        self.now += 4 * agent_defaults.STARTUP_REGISTER_SECONDS
         self.assertEqual(self.read(self.take(AgentTimerFired(self.now))), [])
 
 
--- a/tests/packets/test_restarted_agents.py
+++ b/tests/packets/test_restarted_agents.py
@@ -106,7 +106,7 @@
         name = self.open_at(world, '10.0.0.1')
         if name is None:
             # No flow is open before the agent knows where to register it.
-            self.assertTrue(world.agents['10.0.0.1'].registrar.untold)
+            self.assertTrue(world.agents['10.0.0.1'].registrar.pending_openings)
             return
         world._send(SECOND, make_packet(name, ACK, data=b'GET'))
         # The world fails the test if the flow is reset.
--- a/tests/packets/test_room.py
+++ b/tests/packets/test_room.py
@@ -73,7 +73,7 @@
     def pass_time(self, seconds: float) -> None:
         """Go on without an outage: flows were asked for all the while."""
         self.now += seconds
-        self.state.opening_at = self.now
+        self.state.last_opening_at = self.now
 
     def overload(self, priority: int = 0) -> None:
         """Let much more be asked for than can be done, for a while."""
@@ -100,9 +100,9 @@
         """Eight answers of 20 ms fit into 200 ms, after the margin."""
         self.overload()
         taken = self.fill()
-        in_time = AIM_MS / 1000 / WORK
-        self.assertLessEqual(taken, in_time)
-        self.assertGreaterEqual(taken, in_time - AT_WORK)
+        deadline = AIM_MS / 1000 / WORK
+        self.assertLessEqual(taken, deadline)
+        self.assertGreaterEqual(taken, deadline - AT_WORK)
 
     def test_refusal_comes_with_the_opening_packet(self) -> None:
         """The upstream has not seen the flow, so it did not run."""
@@ -164,9 +164,9 @@
     def test_who_waits_since_an_outage_is_taken(self) -> None:
         """It never had a chance before."""
         self.overload()
-        self.now += agent_defaults.OUTAGE_SECONDS + 0.1
+        self.now += agent_defaults.OUTAGE_PAUSE_SECONDS + 0.1
         taken = self.fill()
-        self.assertEqual(taken, agent_defaults.HELD_PER_SLOT + AT_WORK)
+        self.assertEqual(taken, agent_defaults.MAX_QUEUED_PER_SLOT + AT_WORK)
 
     def test_unknown_pace_refuses_nobody(self) -> None:
         """An agent that began a moment ago knows nothing of waits."""
@@ -208,9 +208,9 @@
         """It was not refused, so it gets an answer."""
         late = self.first + AT_WORK + 3
         key = FLOW._replace(port=late).key
-        self.state.held[key] = self.state.held[key]._replace(
-            in_time=self.now,
-            leaves=self.now + agent_defaults.RESCUE_SECONDS,
+        self.state.queued[key] = self.state.queued[key]._replace(
+            deadline=self.now,
+            latest_departure=self.now + agent_defaults.LAST_CHANCE_SECONDS,
         )
         self.now += WORK
         self.assertEqual(self.answer(self.first), [late])
--- a/tests/packets/test_scheduling.py
+++ b/tests/packets/test_scheduling.py
@@ -180,7 +180,7 @@
 
     def test_queue_is_bounded(self) -> None:
         """Beyond the bound packets pass, as before."""
-        with mock.patch.object(agent_defaults, 'HELD_PER_SLOT', 0):
+        with mock.patch.object(agent_defaults, 'MAX_QUEUED_PER_SLOT', 0):
             passed = self.speak(STREAMING, 2)
         self.assertEqual(self.list_passed(passed), [(STREAMING, 2)])
 
@@ -191,11 +191,11 @@
     def hold(self, **fields: Any) -> tuple[int, float, float]:
         """Hold a request; return its priority, and seconds of aim and all."""
         self.assertEqual(self.speak(STREAMING, 2, **fields), [])
-        held = self.state.held[FLOW._replace(port=STREAMING).key]
+        queued = self.state.queued[FLOW._replace(port=STREAMING).key]
         return (
-            held.priority,
-            round(held.in_time - self.now, 6),
-            round(held.leaves - self.now, 6),
+            queued.priority,
+            round(queued.deadline - self.now, 6),
+            round(queued.latest_departure - self.now, 6),
         )
 
     def test_later_requests_have_the_terms_of_now(self) -> None:
@@ -231,7 +231,7 @@
         self.speak(STREAMING, 2)
         passed = self.speak(STREAMING, 2, data=b'')
         self.assertEqual(self.list_passed(passed), [(STREAMING, 2)])
-        self.assertEqual(len(self.state.held), 1)
+        self.assertEqual(len(self.state.queued), 1)
 
     def test_any_order_and_doubled_from_several_balancers(self) -> None:
         """One copy of each goes on, in the order of its octets."""
@@ -269,7 +269,7 @@
         """The upstream may lack them; they are no new work."""
         for seq in (1, 2):
             self.speak(STREAMING, seq)
-        self.assertEqual(len(self.state.held), 1)
+        self.assertEqual(len(self.state.queued), 1)
         passed = self.speak(STREAMING, 1)
         self.assertEqual(self.list_passed(passed), [(STREAMING, 1)])
         self.serve(0, data=b'a')
@@ -300,7 +300,7 @@
         """Its first packets waited for room, in any order."""
         for seq in (1201, 1):
             self.speak(STREAMING, seq + 1, data=bytes(1200))
-        self.assertEqual(len(self.state.held), 1)
+        self.assertEqual(len(self.state.queued), 1)
         self.serve(0, data=b'a')
         self.serve(STREAMING, data=b'HTTP/1.1 100')
         self.speak(0, 100)
@@ -327,10 +327,10 @@
 
     def test_kept_packets_are_bounded(self) -> None:
         """A caller sends 16 without an answer."""
-        for seq in range(2, 3 * agent_defaults.MAX_HELD_PACKETS):
+        for seq in range(2, 3 * agent_defaults.MAX_QUEUED_PACKETS):
             self.speak(STREAMING, seq)
-        (held,) = self.state.held.values()
-        self.assertEqual(len(held.packets), agent_defaults.MAX_HELD_PACKETS)
+        (queued,) = self.state.queued.values()
+        self.assertEqual(len(queued.packets), agent_defaults.MAX_QUEUED_PACKETS)
 
     def test_search_finds_the_flow(self) -> None:
         """A denial would end in a reset."""
@@ -354,7 +354,7 @@
                 self.setUp()
                 passed = self.speak(STREAMING, 2, flags, b'')
                 self.assertEqual(self.list_passed(passed), [(STREAMING, 2)])
-                self.assertEqual(self.state.held, {})
+                self.assertEqual(self.state.queued, {})
                 self.assertIn('left_waiting', self.list_names())
                 self.assertEqual(self.list_passed(self.serve(0, data=b'a')), [])
 
@@ -370,7 +370,7 @@
         usual = self.state.answer_seconds
         passed = self.serve(STREAMING, FIN | ACK)
         self.assertEqual(self.list_passed(passed), [(STREAMING, 2)])
-        self.assertEqual(self.state.held, {})
+        self.assertEqual(self.state.queued, {})
         self.assertEqual(self.state.busy, ROOM)
         self.assertEqual(self.state.answer_seconds, usual)
 
@@ -378,7 +378,7 @@
         """Its caller hears that, and does not wait."""
         effects = self.serve(STREAMING, RST)
         self.assertEqual(self.list_passed(effects), [])
-        self.assertEqual(self.state.held, {})
+        self.assertEqual(self.state.queued, {})
         self.assertIn('reset_waiting', self.list_names())
 
     def test_flow_that_the_upstream_lost_is_given_back_whole(self) -> None:
@@ -396,7 +396,7 @@
                 if isinstance(effect, SendToPeer)
             ],
         )
-        self.assertEqual(self.state.held, {})
+        self.assertEqual(self.state.queued, {})
 
     def bounce(self, passed: SendToUpstream) -> list[Any]:
         """Let the upstream give a packet back."""
@@ -435,7 +435,7 @@
         """Its flow stays: if it is there after all, it repeats."""
         self.now += 2.01
         self.take(TimerFired(self.now))
-        self.assertEqual(self.state.held, {})
+        self.assertEqual(self.state.queued, {})
         self.assertIn(FLOW._replace(port=STREAMING).key, self.state.flows)
         self.assertEqual(self.speak(STREAMING, 2), [])
         passed = self.serve(0, data=b'a')
@@ -475,9 +475,9 @@
         self.speak(STREAMING, 2, priority=2, left_ms=200)
         self.serve(STREAMING, data=b'a')
         self.assertEqual(self.speak(STREAMING, 3, priority=2, left_ms=200), [])
-        (held,) = self.state.held.values()
-        self.assertEqual(held.priority, 2)
-        self.assertAlmostEqual(held.in_time, self.now + 0.2)
+        (queued,) = self.state.queued.values()
+        self.assertEqual(queued.priority, 2)
+        self.assertAlmostEqual(queued.deadline, self.now + 0.2)
 
     def test_old_balancers_state_nothing(self) -> None:
         """What they send on such a flow passes, as before."""
--- a/tests/packets/test_untold.py
+++ b/tests/packets/test_untold.py
@@ -88,7 +88,7 @@
         """It may be lost, or its answer."""
         self.offer()
         self.assertEqual(self.list_asked(self.take(TimerFired(self.now))), [])
-        self.now += 2 * defaults.ASK_NOTICE_SECONDS
+        self.now += 2 * defaults.NOTICE_RETRY_SECONDS
         effects = self.take(TimerFired(self.now))
         self.assertEqual(self.list_asked(effects), [BALANCER])
 
@@ -105,9 +105,9 @@
         self.offer()
         self.now += 0.3
         self.tell(pack_notice(NOTICE))
-        held = self.state.held[FLOW.key]
-        self.assertAlmostEqual(held.in_time, self.now + 0.2)
-        self.assertAlmostEqual(held.leaves, self.now + 1.0)
+        queued = self.state.queued[FLOW.key]
+        self.assertAlmostEqual(queued.deadline, self.now + 0.2)
+        self.assertAlmostEqual(queued.latest_departure, self.now + 1.0)
 
     def test_notice_of_another_service_ends_no_wait(self) -> None:
         """It has another directory."""
@@ -131,10 +131,10 @@
 
     def test_memory_is_bounded(self) -> None:
         """Callers repeat what was dropped."""
-        untold = self.state.registrar.untold
+        pending_openings = self.state.registrar.pending_openings
         packet = make_packet(FLOW, SYN)
         envelope = Envelope(EnvelopeKind.OPEN, 0, 3, 0, 500, 0, packet)
         event = EnvelopeArrived(self.now, BALANCER, envelope)
-        for number in range(defaults.MAX_UNTOLD):
-            untold[number.to_bytes(12)] = event
+        for number in range(defaults.MAX_PENDING_OPENINGS):
+            pending_openings[number.to_bytes(12)] = event
         self.assertIn(Decided('untold_full'), self.offer())
