--- a/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
@@ -23,29 +23,29 @@
 from keelgap.packets.formats import ENDS_FLOW
 from keelgap.packets.openings import OPENING_SECONDS
 from keelgap_agent.packets import defaults
+from keelgap_agent.packets.capacity import (
+    NO_TIME,
+    choose_under_overload,
+    estimate_start_ms,
+)
 from keelgap_agent.packets.effects import (
     AgentEffect,
     Decided,
 )
 from keelgap_agent.packets.events import EnvelopeArrived
 from keelgap_agent.packets.flows import Flow, QueuedRequest
-from keelgap_agent.packets.outcomes.giving_up import give_up_ready
+from keelgap_agent.packets.outcomes.giving_up import reset_queued_flow
 from keelgap_agent.packets.outcomes.judging import record_opening, record_work
-from keelgap_agent.packets.outcomes.refusing import refuse_ejected
+from keelgap_agent.packets.outcomes.refusing import find_ejection_refusal
 from keelgap_agent.packets.refusals import find_refusal
 from keelgap_agent.packets.registration import register_flow
 from keelgap_agent.packets.request_log import log_request_started
-from keelgap_agent.packets.room import (
-    NO_TIME,
-    choose_under_pressure,
-    compute_room_ms,
-)
 from keelgap_agent.packets.scheduling.order import (
     choose_next,
-    has_room,
+    has_capacity,
     observe_wait,
 )
-from keelgap_agent.packets.scheduling.terms import read_opening
+from keelgap_agent.packets.scheduling.route_policy import read_opening_policy
 from keelgap_agent.packets.state import AgentState
 
 __all__ = (
@@ -73,15 +73,15 @@
     if envelope.slots:
         state.slots = envelope.slots
     request = _make_queued_request(state, event)
-    refusal = find_refusal(state, event, request) or refuse_ejected(
+    refusal = find_refusal(state, event, request) or find_ejection_refusal(
         state, key, event
     )
     if refusal is not None:
         return _refuse(state, event, refusal, request)
-    state.room.note_taken(request.priority, now)
+    state.capacity.record_admitted(request.priority, now)
     flow = Flow(now)
     if state.features.scheduling:
-        flow.terms = read_opening(envelope)
+        flow.route_policy = read_opening_policy(envelope)
     state.flows[key] = flow
     state.queued[key] = request
     record_opening(state, key, event)
@@ -118,7 +118,7 @@
     is_first = not request.packets
     if len(request.packets) < defaults.MAX_QUEUED_PACKETS:
         request.packets[state.format.sequence(datagram)] = event
-    abandoned = give_up_ready(state, key, event.now)
+    abandoned = reset_queued_flow(state, key, event.now)
     if abandoned:
         return (*owned, *abandoned)
     released = release_queued(state, event.now)
@@ -131,11 +131,11 @@
 def release_queued(state: AgentState, now: float) -> Effects:
     """Forward queued requests in order of rank while there is capacity."""
     effects: list[AgentEffect] = list(_drop_expired(state, now))
-    while has_room(state, now):
+    while has_capacity(state, now):
         ready = [
             key
             for key, request in state.queued.items()
-            if request.packets and not state.outcomes.would_lose(key)
+            if request.packets and not state.outcomes.would_time_out(key)
         ]
         if not ready:
             break
@@ -216,8 +216,8 @@
     envelope = event.envelope
     start_ms = 0
     if reason == NO_TIME:
-        state.room.note_refused(request.priority, event.now)
-        start_ms = compute_room_ms(state, request, event.now)
+        state.capacity.record_refusal(request.priority, event.now)
+        start_ms = estimate_start_ms(state, request, event.now)
     miss = state.return_to_balancer(event.sender, envelope, start_ms)
     fields = {
         'flow': state.format.describe_key(
@@ -250,6 +250,6 @@
 
 def _choose_next(state: AgentState, ready: list[bytes], now: float) -> bytes:
     """Return the flow whose request is forwarded next."""
-    if state.room.is_pressed(now):
-        return choose_under_pressure(state, ready, now)
+    if state.capacity.is_overloaded(now):
+        return choose_under_overload(state, ready, now)
     return choose_next(state, ready, now)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
@@ -5,8 +5,8 @@
 
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.events import EnvelopeArrived
-from keelgap_agent.packets.outcomes.state import Work
-from keelgap_agent.packets.scheduling.terms import RouteTerms
+from keelgap_agent.packets.outcomes.state import InFlightRequest
+from keelgap_agent.packets.scheduling.route_policy import RoutePolicy
 
 __all__ = ('Flow', 'QueuedRequest', 'LoggedRequest')
 
@@ -37,7 +37,7 @@
         'initial_sequence',
         'requests',
         'last_seen_at',
-        'terms',
+        'route_policy',
         'work',
     )
 
@@ -62,12 +62,12 @@
         #: Whether the flow is registered with the directory of the service.
         self.is_registered = False
         #: Priority and deadlines of subsequent requests by route, if known.
-        self.terms: RouteTerms | None = None
+        self.route_policy: RoutePolicy | None = None
         #: Sequence number of the upstream's opening packet, until the upstream
         #: sends data.
         self.initial_sequence: int | None = None
         #: The request in progress, if outcomes of requests are evaluated.
-        self.work: Work | None = None
+        self.work: InFlightRequest | None = None
 
     def is_new_sequence(self, sequence: int) -> bool:
         """Return whether a sequence number is later than all seen before."""
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/acknowledging.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/acknowledging.py
@@ -10,7 +10,7 @@
 from keelgap_agent.packets.flows import Flow
 from keelgap_agent.packets.state import AgentState
 
-__all__ = ('acknowledges_upstream', 'is_next')
+__all__ = ('acknowledges_upstream', 'follows_opening')
 
 #: Sequence numbers have 32 bits and wrap around.
 _SEQUENCE_NUMBERS: Final = 0x100000000
@@ -26,9 +26,11 @@
     """Return whether the first data acknowledge this upstream's opening."""
     if flow.initial_sequence is None:
         return False
-    return is_next(state.format.acknowledged(datagram), flow.initial_sequence)
+    return follows_opening(
+        state.format.acknowledged(datagram), flow.initial_sequence
+    )
 
 
-def is_next(number: int, initial_sequence: int) -> bool:
+def follows_opening(number: int, initial_sequence: int) -> bool:
     """Return whether a sequence number directly follows an opening packet."""
     return (number - initial_sequence) % _SEQUENCE_NUMBERS <= _MAX_DISTANCE
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/defaults.py
@@ -5,36 +5,36 @@
 from keelgap.packets import trials
 
 __all__ = (
-    'CEILING',
+    'MAX_SCORE',
     'EJECTION_SCORE',
     'ERROR_WEIGHT',
     'FORCED_HOP',
-    'GIVEN_UP_SECONDS',
-    'GOOD_WEIGHT',
-    'GRACE_SECONDS',
+    'ABANDONED_SECONDS',
+    'SUCCESS_WEIGHT',
+    'STARTUP_GRACE_SECONDS',
     'LAST_RESORT_SECONDS',
-    'LONGEST_BAD_WAIT_SECONDS',
-    'LONGEST_SILENCE_SECONDS',
-    'LONGEST_WAIT_SECONDS',
+    'MAX_ERROR_WAIT_SECONDS',
+    'MAX_RESPONSE_TIMEOUT_SECONDS',
+    'MAX_WAIT_SECONDS',
     'LOST_WEIGHT',
-    'MAX_GIVEN_UP',
+    'MAX_ABANDONED',
     'MAX_ROUTES',
     'MAX_TRIALS',
-    'ONE_ROUTE_SCORE',
-    'OPENING_SILENCE_SECONDS',
-    'OTHER_ROUTE_ANSWERS',
-    'OTHER_ROUTE_SECONDS',
-    'OVERTAKEN_ANSWERS',
-    'PAUSE_SECONDS',
+    'MAX_SINGLE_ROUTE_SCORE',
+    'OPENING_TIMEOUT_SECONDS',
+    'SERVED_ROUTE_RESPONSES',
+    'SERVED_ROUTE_SECONDS',
+    'OVERTAKING_RESPONSES',
+    'PROCESS_PAUSE_SECONDS',
     'REFUSED_WEIGHT',
-    'REMEMBERED_SECONDS',
-    'RETURN_ANSWERS',
+    'RELAPSE_SECONDS',
+    'RETURN_RESPONSES',
     'RETURN_SCORE',
-    'SHORTEST_SILENCE_SECONDS',
-    'SHORTEST_WAIT_SECONDS',
-    'SILENCE_ANSWERS',
-    'SLOW_ANSWERS',
-    'TRIAL_SECONDS',
+    'MIN_RESPONSE_TIMEOUT_SECONDS',
+    'MIN_WAIT_SECONDS',
+    'RESPONSE_TIMEOUT_FACTOR',
+    'SLOW_RESPONSE_FACTOR',
+    'TRIAL_TIMEOUT_SECONDS',
 )
 
 #: Weight of a lost request: the log-likelihood ratio of an upstream that fails
@@ -50,23 +50,23 @@
 REFUSED_WEIGHT: Final = 1.5
 
 #: Subtracted for a good response, by the same ratio: ln(0.98 / 0.6).
-GOOD_WEIGHT: Final = 0.5
+SUCCESS_WEIGHT: Final = 0.5
 
 #: An upstream is ejected at this score: after two lost requests without a
 #: response in between, or three errors, but never after a single failure.
 EJECTION_SCORE: Final = 5.5
 
 #: Upper bound of each sum, which limits how long a bad period has an effect.
-CEILING: Final = 11.0
+MAX_SCORE: Final = 11.0
 
 #: Upper bound of one route's errors while another route is served.
-ONE_ROUTE_SCORE: Final = 4.0
+MAX_SINGLE_ROUTE_SCORE: Final = 4.0
 
 #: A route counts as served after so many consecutive good responses, of which
 #: the latest is at most so many seconds old.  An upstream that fails two
 #: requests in five rarely gives as many.
-OTHER_ROUTE_ANSWERS: Final = 3
-OTHER_ROUTE_SECONDS: Final = 5.0
+SERVED_ROUTE_RESPONSES: Final = 3
+SERVED_ROUTE_SECONDS: Final = 5.0
 
 #: Number of routes with a score of their own; all others share the last one.
 MAX_ROUTES: Final = 64
@@ -76,48 +76,48 @@
 #: or more, and an unresponsive upstream must be ejected earlier to spare the
 #: next ones.  The upper bound also applies until the first response shows the
 #: usual time.
-SILENCE_ANSWERS: Final = 8
-SHORTEST_SILENCE_SECONDS: Final = 0.8
-LONGEST_SILENCE_SECONDS: Final = 1.5
+RESPONSE_TIMEOUT_FACTOR: Final = 8
+MIN_RESPONSE_TIMEOUT_SECONDS: Final = 0.8
+MAX_RESPONSE_TIMEOUT_SECONDS: Final = 1.5
 
 #: A request never counts as lost before this multiple of the mean response
 #: time, which may raise the upper bound: an upstream at a quarter of its usual
 #: speed is only slow, and its callers wait for longer.
-SLOW_ANSWERS: Final = 5
+SLOW_RESPONSE_FACTOR: Final = 5
 
 #: If the upstream still responds to other requests, a late request counts as
 #: silent only when it was overtaken: when so many more responses arrived than
 #: twice the number of requests that were in flight before it.
-OVERTAKEN_ANSWERS: Final = 4
+OVERTAKING_RESPONSES: Final = 4
 
 #: Seconds after which an opening packet without a reply counts as a failure.
 #: The upstream runs on the same instance as this agent and replies at once.
 #: Callers repeat the packet after 0.2 s and give up after 1.4 s, so another
 #: upstream can still accept them.
-OPENING_SILENCE_SECONDS: Final = 0.3
+OPENING_TIMEOUT_SECONDS: Final = 0.3
 
 #: For so many seconds after the start of this process, opening packets without
 #: a reply prove nothing: the processes of an instance start together, and the
 #: upstream may take longer.
-GRACE_SECONDS: Final = 3.0
+STARTUP_GRACE_SECONDS: Final = 3.0
 
 #: After a pause of this process of so many seconds, missing responses prove
 #: nothing.
-PAUSE_SECONDS: Final = 0.25
+PROCESS_PAUSE_SECONDS: Final = 0.25
 
 #: Seconds before an ejected upstream gets a trial: the first time, and at
 #: most.  The wait doubles with each failure.
-SHORTEST_WAIT_SECONDS: Final = 1.0
-LONGEST_WAIT_SECONDS: Final = 8.0
+MIN_WAIT_SECONDS: Final = 1.0
+MAX_WAIT_SECONDS: Final = 8.0
 
 #: Upper bound of the wait after a trial that got an error or was not opened.
 #: Such a trial costs its caller one try of a request that it may repeat, or a
 #: fraction of a second; a request without a response costs all of its time.
-LONGEST_BAD_WAIT_SECONDS: Final = 2.0
+MAX_ERROR_WAIT_SECONDS: Final = 2.0
 
 #: An upstream that is ejected again within so many seconds after its return
 #: waits longer than the last time.
-REMEMBERED_SECONDS: Final = 8.0
+RELAPSE_SECONDS: Final = 8.0
 
 #: Upper bound of concurrent trials.  It starts at one, and grows by one with
 #: each good response.
@@ -125,7 +125,7 @@
 
 #: Consecutive good responses that end an ejection.  Of upstreams that fail two
 #: requests in five, three in a hundred give as many.
-RETURN_ANSWERS: Final = 7
+RETURN_RESPONSES: Final = 7
 
 #: Score after a return, from which a single lost request ejects again.
 RETURN_SCORE: Final = 2.75
@@ -137,7 +137,7 @@
 #: A trial without an outcome is dropped after so many seconds, or after twice
 #: the response timeout if that is longer: its caller has left without closing
 #: the flow.
-TRIAL_SECONDS: Final = 4.0
+TRIAL_TIMEOUT_SECONDS: Final = 4.0
 
 #: An opening packet that so many agents have returned is accepted: if most
 #: upstreams fail, none of them is left out.
@@ -146,5 +146,5 @@
 #: Upper bound of abandoned flows that are remembered, at 300 octets each, and
 #: the seconds for which they are.  No request lasts longer, so callers repeat
 #: their packets for no longer.
-MAX_GIVEN_UP: Final = 2000
-GIVEN_UP_SECONDS: Final = 30.0
+MAX_ABANDONED: Final = 2000
+ABANDONED_SECONDS: Final = 30.0
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/ejection.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/ejection.py
@@ -16,28 +16,28 @@
     __slots__ = (
         'forced',
         'good_trials',
-        'is_out',
-        'is_silent',
+        'is_ejected',
+        'is_unresponsive',
         'returned_at',
         'wait_started_at',
-        'trial_seconds',
+        'trial_timeout_seconds',
         'trials',
-        'wait',
+        'wait_seconds',
         'wanted_since',
         'wants_trial',
     )
 
     def __init__(self) -> None:
         """Start with an upstream that is not ejected."""
-        self.is_out = False
+        self.is_ejected = False
         #: Whether requests get no response, rather than an error.
-        self.is_silent = False
+        self.is_unresponsive = False
         #: Whether one more request should be sent as a trial.
         self.wants_trial = False
         #: When the upstream was ejected, or the latest trial failed.
         self.wait_started_at = float('-inf')
         #: Seconds from then until the next trial.
-        self.wait: float = 0
+        self.wait_seconds: float = 0
         self.returned_at = float('-inf')
         #: Since when a trial is wanted and none has arrived.
         self.wanted_since: float | None = None
@@ -46,19 +46,19 @@
         #: When each flow was admitted as a trial, by flow key.
         self.trials: dict[bytes, float] = {}
         #: Seconds after which a trial without an outcome is dropped.
-        self.trial_seconds = defaults.TRIAL_SECONDS
+        self.trial_timeout_seconds = defaults.TRIAL_TIMEOUT_SECONDS
         #: Other flows, admitted because no other upstream accepted them.
         self.forced: set[bytes] = set()
 
-    def eject(self, now: float, *, is_silent: bool) -> None:
+    def eject(self, now: float, *, is_unresponsive: bool) -> None:
         """Eject the upstream, for longer if it returned only recently."""
-        self.is_silent = is_silent
-        if now - self.returned_at > defaults.REMEMBERED_SECONDS:
-            self.wait = 0
-        self.is_out = True
-        self._start_wait(now, defaults.LONGEST_WAIT_SECONDS)
+        self.is_unresponsive = is_unresponsive
+        if now - self.returned_at > defaults.RELAPSE_SECONDS:
+            self.wait_seconds = 0
+        self.is_ejected = True
+        self._start_wait(now, defaults.MAX_WAIT_SECONDS)
 
-    def note_trial(self, key: bytes, now: float, *, is_good: bool) -> bool:
+    def record_trial(self, key: bytes, now: float, *, is_good: bool) -> bool:
         """Record the outcome of a flow; return whether it is a failed trial.
 
         Good responses on flows that no other upstream accepted count as well.
@@ -76,17 +76,17 @@
 
     def has_passed(self) -> bool:
         """Return whether the trials show that the upstream has recovered."""
-        return self.good_trials >= defaults.RETURN_ANSWERS
+        return self.good_trials >= defaults.RETURN_RESPONSES
 
-    def end(self, now: float) -> None:
+    def return_to_service(self, now: float) -> None:
         """End the ejection."""
-        self.is_out = False
+        self.is_ejected = False
         self.returned_at = now
         self.trials.clear()
         self.forced.clear()
         self.update(now)
 
-    def take(self, key: bytes, now: float, *, is_trial: bool) -> bool:
+    def admit(self, key: bytes, now: float, *, is_trial: bool) -> bool:
         """Admit a new flow as a trial if one is wanted; return whether it is.
 
         Flows that a balancer offers as a trial are preferred.  If none arrives
@@ -104,7 +104,7 @@
         self.update(now)
         return True
 
-    def is_taken(self, key: bytes) -> bool:
+    def is_admitted(self, key: bytes) -> bool:
         """Return whether a flow was admitted since the ejection."""
         return key in self.trials or key in self.forced
 
@@ -115,14 +115,14 @@
 
     def update(self, now: float) -> None:
         """Drop expired trials, and compute whether one more is wanted."""
-        limit = now - self.trial_seconds
+        limit = now - self.trial_timeout_seconds
         self.trials = {
             key: at for key, at in self.trials.items() if at >= limit
         }
         max_trials = min(self.good_trials + 1, defaults.MAX_TRIALS)
         self.wants_trial = (
-            self.is_out
-            and now - self.wait_started_at >= self.wait
+            self.is_ejected
+            and now - self.wait_started_at >= self.wait_seconds
             and len(self.trials) < max_trials
         )
         if not self.wants_trial:
@@ -131,13 +131,13 @@
             self.wanted_since = now
 
     def _compute_longest_wait(self) -> float:
-        if self.is_silent:
-            return defaults.LONGEST_WAIT_SECONDS
-        return max(self.wait, defaults.LONGEST_BAD_WAIT_SECONDS)
+        if self.is_unresponsive:
+            return defaults.MAX_WAIT_SECONDS
+        return max(self.wait_seconds, defaults.MAX_ERROR_WAIT_SECONDS)
 
     def _start_wait(self, now: float, longest: float) -> None:
-        backoff = max(2 * self.wait, defaults.SHORTEST_WAIT_SECONDS)
-        self.wait = min(backoff, longest)
+        backoff = max(2 * self.wait_seconds, defaults.MIN_WAIT_SECONDS)
+        self.wait_seconds = min(backoff, longest)
         self.wait_started_at = now
         self.good_trials = 0
         self.trials.clear()
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/giving_up.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/giving_up.py
@@ -31,36 +31,36 @@
 from keelgap_agent.packets.state import AgentState
 
 __all__ = (
-    'answer_given_up',
-    'drop_given_up',
-    'give_back_opening',
-    'give_up_all',
-    'give_up_ready',
+    'answer_abandoned_flow',
+    'drop_abandoned_flow',
+    'return_opening',
+    'abandon_queued_flows',
+    'reset_queued_flow',
 )
 
 Effects = tuple[AgentEffect, ...]
 
 
-def give_up_all(state: AgentState, now: float) -> Effects:
+def abandon_queued_flows(state: AgentState, now: float) -> Effects:
     """Abandon the queued flows of an ejected upstream."""
     effects: list[AgentEffect] = []
     for key in tuple(state.queued):
-        if state.outcomes.ejection.is_taken(key):
+        if state.outcomes.ejection.is_admitted(key):
             continue
-        if key in state.outcomes.unopened:
-            effects.extend(give_back_opening(state, key, now))
+        if key in state.outcomes.unanswered_openings:
+            effects.extend(return_opening(state, key, now))
         else:
-            effects.extend(give_up_ready(state, key, now))
+            effects.extend(reset_queued_flow(state, key, now))
     return tuple(effects)
 
 
-def give_back_opening(state: AgentState, key: bytes, now: float) -> Effects:
+def return_opening(state: AgentState, key: bytes, now: float) -> Effects:
     """Return a flow whose opening packet got no reply to its balancer.
 
     It is not returned to balancers of earlier releases: they might reset the
     flow although it is open at another upstream.
     """
-    event = state.outcomes.unopened.pop(key)
+    event = state.outcomes.unanswered_openings.pop(key)
     is_supported = bool(state.balancers.report_formats.get(event.sender))
     if not state.registrar.is_complete or not is_supported:
         return ()
@@ -68,21 +68,21 @@
     # Data show that the caller chose another upstream, so if there are any,
     # only they are returned.
     events = tuple(state.queued[key].packets.values()) or (event,)
-    _forget(state, key, now, is_reset=False)
+    _abandon(state, key, now, is_reset=False)
     returned = [
         state.return_to_balancer(one.sender, one.envelope) for one in events
     ]
     return *returned, Decided('miss_unopened', fields)
 
 
-def give_up_ready(state: AgentState, key: bytes, now: float) -> Effects:
+def reset_queued_flow(state: AgentState, key: bytes, now: float) -> Effects:
     """Reset a flow whose request is queued for an unresponsive upstream."""
     ejection = state.outcomes.ejection
     queued = state.queued[key]
     is_known = state.registrar.is_complete
-    if not is_known or not ejection.is_out or not ejection.is_silent:
+    if not is_known or not ejection.is_ejected or not ejection.is_unresponsive:
         return ()
-    if ejection.is_taken(key) or not queued.packets:
+    if ejection.is_admitted(key) or not queued.packets:
         return ()
     datagram = next(iter(queued.packets.values())).envelope.content
     flow = state.flows[key]
@@ -91,12 +91,12 @@
     if is_open or not acknowledges_upstream(state, flow, datagram):
         return ()
     fields = _describe(state, key, now - queued.arrived_at)
-    _forget(state, key, now, is_reset=True)
+    _abandon(state, key, now, is_reset=True)
     reset = SendToCaller(state.format.make_reset(datagram))
     return reset, Decided('reset_ejected', fields)
 
 
-def answer_given_up(
+def answer_abandoned_flow(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
@@ -110,7 +110,7 @@
     is_opening = envelope.kind in OPENING_KINDS
     # After a reset the caller may open a new flow from the same port.
     is_new = is_opening and not state.format.copies(datagram)
-    if is_new or not state.outcomes.given_up[key].is_reset:
+    if is_new or not state.outcomes.abandoned_flows[key].is_reset:
         miss = state.return_to_balancer(event.sender, envelope)
         return miss, Decided('miss_given_up')
     is_end = state.format.flags(datagram) & ENDS_FLOW
@@ -120,12 +120,12 @@
     return reset, Decided('reset_given_up')
 
 
-def drop_given_up() -> Effects:
+def drop_abandoned_flow() -> Effects:
     """Drop a packet of the upstream that belongs to an abandoned flow."""
     return (Decided('drop_given_up'),)
 
 
-def _forget(
+def _abandon(
     state: AgentState,
     key: bytes,
     now: float,
@@ -133,7 +133,7 @@
     is_reset: bool,
 ) -> None:
     state.forget(key)
-    state.outcomes.give_up(key, now, is_reset=is_reset)
+    state.outcomes.abandon(key, now, is_reset=is_reset)
 
 
 def _describe(
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/judging.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/judging.py
@@ -9,20 +9,20 @@
 from keelgap_agent.packets.outcomes import defaults
 from keelgap_agent.packets.outcomes.acknowledging import (
     acknowledges_upstream,
-    is_next,
+    follows_opening,
 )
-from keelgap_agent.packets.outcomes.giving_up import give_back_opening
+from keelgap_agent.packets.outcomes.giving_up import return_opening
 from keelgap_agent.packets.outcomes.score import Outcome
-from keelgap_agent.packets.outcomes.state import Work
-from keelgap_agent.packets.outcomes.verdicts import note_outcome
+from keelgap_agent.packets.outcomes.state import InFlightRequest
+from keelgap_agent.packets.outcomes.verdicts import record_outcome
 from keelgap_agent.packets.state import AgentState
 
 __all__ = (
-    'judge_answer',
-    'judge_bounce',
-    'judge_silence',
+    'record_packet_outcome',
+    'record_bounce_outcome',
+    'detect_timeouts',
     'record_opening',
-    'note_upstream_packet',
+    'record_opening_reply',
     'record_work',
 )
 
@@ -46,7 +46,7 @@
 ) -> None:
     """Record that the opening packet of a flow is sent to the upstream."""
     if state.features.ejection:
-        state.outcomes.unopened[key] = event
+        state.outcomes.unanswered_openings[key] = event
 
 
 def record_work(
@@ -65,17 +65,17 @@
     if not state.features.ejection or flow.busy_since is None:
         return
     if flow.work is not None:
-        state.outcomes.go_on(flow.work, now)
+        state.outcomes.record_packet(flow.work, now)
         return
     is_first = flow.initial_sequence is not None
     if not flow.confirmed or (
         is_first and not acknowledges_upstream(state, flow, datagram)
     ):
         return
-    flow.work = state.outcomes.begin(key, now, state.busy)
+    flow.work = state.outcomes.track(key, now, state.busy)
 
 
-def note_upstream_packet(
+def record_opening_reply(
     state: AgentState,
     key: bytes,
     flow: Flow,
@@ -84,10 +84,10 @@
     """Record that the upstream replied to the opening packet of a flow."""
     if state.format.flags(datagram) & _SYN:
         flow.initial_sequence = state.format.sequence(datagram)
-        state.outcomes.unopened.pop(key, None)
+        state.outcomes.unanswered_openings.pop(key, None)
 
 
-def judge_answer(
+def record_packet_outcome(
     state: AgentState,
     key: bytes,
     flow: Flow,
@@ -101,17 +101,17 @@
     if not state.features.ejection:
         return ()
     outcomes = state.outcomes
-    was_unanswered = outcomes.unopened.pop(key, None) is not None
+    was_unanswered = outcomes.unanswered_openings.pop(key, None) is not None
     if state.format.data_length(datagram):
         return _record_data_outcome(state, key, flow, datagram, now)
-    if flow.work in outcomes.stuck:
+    if flow.work in outcomes.timed_out:
         # It was already counted as silent.
         return ()
     flags = state.format.flags(datagram)
     if flags & _RST and (flow.work is not None or was_unanswered):
-        return note_outcome(state, key, Outcome.RESET, now)
+        return record_outcome(state, key, Outcome.RESET, now)
     if flags & _FIN and _closed_before_response(state, flow, datagram):
-        return note_outcome(state, key, Outcome.CLOSED, now)
+        return record_outcome(state, key, Outcome.CLOSED, now)
     return ()
 
 
@@ -127,7 +127,9 @@
     """
     if flow.work is None or flow.initial_sequence is None:
         return False
-    return is_next(state.format.sequence(datagram), flow.initial_sequence)
+    return follows_opening(
+        state.format.sequence(datagram), flow.initial_sequence
+    )
 
 
 def _record_data_outcome(
@@ -141,24 +143,24 @@
     flow.initial_sequence = None
     if flow.work is None and not is_overtaken_by_close:
         return ()
-    state.outcomes.note_answer(flow.work)
+    state.outcomes.record_response(flow.work)
     # The busy count no longer includes a request whose flow was closed first.
-    at_work = state.busy + (flow.work is None)
-    outcome = _classify_response(state, datagram, at_work)
+    in_flight = state.busy + (flow.work is None)
+    outcome = _classify_response(state, datagram, in_flight)
     if outcome is None:
         state.outcomes.ejection.forget(key)
         return ()
-    return note_outcome(state, key, outcome, now)
+    return record_outcome(state, key, outcome, now)
 
 
 def _classify_response(
     state: AgentState,
     datagram: bytes,
-    at_work: int,
+    in_flight: int,
 ) -> Outcome | None:
     """Return the outcome that a response shows; None if it proves nothing."""
     status = state.format.read_status(datagram)
-    is_full = at_work > state.slots
+    is_full = in_flight > state.slots
     if state.format.says_not_run(datagram):
         if is_full or status == _MISDIRECTED:
             return None
@@ -170,7 +172,7 @@
     return Outcome.ERROR
 
 
-def judge_bounce(
+def record_bounce_outcome(
     state: AgentState,
     key: bytes,
     flow: Flow,
@@ -188,16 +190,16 @@
     )
     if not was_just_accepted or not state.format.data_length(packet):
         return ()
-    return note_outcome(state, key, Outcome.FORGOTTEN, now)
+    return record_outcome(state, key, Outcome.FORGOTTEN, now)
 
 
-def judge_silence(state: AgentState, now: float) -> Effects:
+def detect_timeouts(state: AgentState, now: float) -> Effects:
     """Record a failure for what the upstream has not answered in time."""
     if not state.features.ejection:
         return ()
     response_timeout = _compute_response_timeout(state)
-    state.outcomes.ejection.trial_seconds = max(
-        defaults.TRIAL_SECONDS,
+    state.outcomes.ejection.trial_timeout_seconds = max(
+        defaults.TRIAL_TIMEOUT_SECONDS,
         2 * response_timeout,
     )
     state.outcomes.tick(now)
@@ -209,41 +211,41 @@
 
 def _detect_unanswered_openings(state: AgentState, now: float) -> Effects:
     outcomes = state.outcomes
-    limit = now - defaults.OPENING_SILENCE_SECONDS
-    is_starting = now - outcomes.began < defaults.GRACE_SECONDS
-    if is_starting or outcomes.awake_since > limit:
+    limit = now - defaults.OPENING_TIMEOUT_SECONDS
+    is_starting = now - outcomes.started_at < defaults.STARTUP_GRACE_SECONDS
+    if is_starting or outcomes.running_since > limit:
         return ()
     late = [
         key
-        for key, event in outcomes.unopened.items()
+        for key, event in outcomes.unanswered_openings.items()
         if event.now <= limit and event.envelope.hop < defaults.FORCED_HOP
     ]
     effects: list[AgentEffect] = []
     for key in late:
         if key not in state.queued:
-            outcomes.unopened.pop(key, None)
+            outcomes.unanswered_openings.pop(key, None)
             continue
         if not effects:
             # A single short pause makes all of them late, so count it once.
-            effects.extend(note_outcome(state, key, Outcome.UNOPENED, now))
-        if key in outcomes.unopened:
-            effects.extend(give_back_opening(state, key, now))
+            effects.extend(record_outcome(state, key, Outcome.UNOPENED, now))
+        if key in outcomes.unanswered_openings:
+            effects.extend(return_opening(state, key, now))
     return tuple(effects)
 
 
 def _detect_silent_requests(state: AgentState, now: float) -> Effects:
     outcomes = state.outcomes
     limit = now - _compute_response_timeout(state)
-    if outcomes.awake_since > limit:
+    if outcomes.running_since > limit:
         return ()
     effects: list[AgentEffect] = []
-    for request in tuple(outcomes.at_work):
-        if request.latest > limit:
+    for request in tuple(outcomes.in_flight):
+        if request.last_packet_at > limit:
             break
         if _counts_as_silent(state, request):
-            outcomes.judge_silent(request)
+            outcomes.mark_timed_out(request)
             effects.extend(
-                note_outcome(state, request.key, Outcome.SILENT, now)
+                record_outcome(state, request.key, Outcome.SILENT, now)
             )
     return tuple(effects)
 
@@ -252,24 +254,26 @@
     """Return after how many seconds without a response a request is late."""
     response_time = state.answer_seconds
     upper_bound = max(
-        defaults.LONGEST_SILENCE_SECONDS,
-        defaults.SLOW_ANSWERS * response_time,
+        defaults.MAX_RESPONSE_TIMEOUT_SECONDS,
+        defaults.SLOW_RESPONSE_FACTOR * response_time,
     )
-    if not state.outcomes.answers:
+    if not state.outcomes.responses:
         return upper_bound
-    expected = min(defaults.SILENCE_ANSWERS * response_time, upper_bound)
-    return max(expected, defaults.SHORTEST_SILENCE_SECONDS)
+    expected = min(
+        defaults.RESPONSE_TIMEOUT_FACTOR * response_time, upper_bound
+    )
+    return max(expected, defaults.MIN_RESPONSE_TIMEOUT_SECONDS)
 
 
-def _counts_as_silent(state: AgentState, request: Work) -> bool:
+def _counts_as_silent(state: AgentState, request: InFlightRequest) -> bool:
     """Return whether a request that is late counts as silent.
 
     It does if the upstream has sent no response at all since the request, or
     so many that later requests have overtaken it.  While the upstream is
     ejected, responses are rare and prove nothing, so it always does.
     """
-    if state.outcomes.ejection.is_out:
+    if state.outcomes.ejection.is_ejected:
         return True
-    answers = state.outcomes.answers - request.answers
-    overtaking = 2 * request.before + defaults.OVERTAKEN_ANSWERS
-    return not answers or answers >= overtaking
+    responses = state.outcomes.responses - request.responses
+    overtaking = 2 * request.requests_ahead + defaults.OVERTAKING_RESPONSES
+    return not responses or responses >= overtaking
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/refusing.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/refusing.py
@@ -5,10 +5,10 @@
 from keelgap_agent.packets.outcomes import defaults
 from keelgap_agent.packets.state import AgentState
 
-__all__ = ('refuse_ejected',)
+__all__ = ('find_ejection_refusal',)
 
 
-def refuse_ejected(
+def find_ejection_refusal(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
@@ -20,15 +20,15 @@
     """
     outcomes = state.outcomes
     ejection = outcomes.ejection
-    if not ejection.is_out:
+    if not ejection.is_ejected:
         return None
     envelope = event.envelope
     is_trial = envelope.kind == EnvelopeKind.TRY
-    if ejection.take(key, event.now, is_trial=is_trial):
-        outcomes.has_news = True
+    if ejection.admit(key, event.now, is_trial=is_trial):
+        outcomes.has_unreported_change = True
         return None
     if envelope.hop >= defaults.FORCED_HOP:
         ejection.forced.add(key)
         return None
-    outcomes.untold.add(event.sender)
+    outcomes.stale_balancers.add(event.sender)
     return 'miss_ejected'
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/score.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/score.py
@@ -12,7 +12,7 @@
 
 from keelgap_agent.packets.outcomes import defaults
 
-__all__ = ('Outcome', 'Score')
+__all__ = ('Outcome', 'OutlierScore')
 
 
 @unique
@@ -56,12 +56,12 @@
     def is_served(self, now: float) -> bool:
         """Return whether requests of this route currently succeed."""
         return (
-            self.consecutive_good >= defaults.OTHER_ROUTE_ANSWERS
-            and now - self.last_good_at < defaults.OTHER_ROUTE_SECONDS
+            self.consecutive_good >= defaults.SERVED_ROUTE_RESPONSES
+            and now - self.last_good_at < defaults.SERVED_ROUTE_SECONDS
         )
 
 
-class Score:
+class OutlierScore:
     """The combined evidence of all outcomes of an upstream's requests."""
 
     __slots__ = ('_by_route', '_lost_total')
@@ -71,15 +71,15 @@
         self._lost_total = lost
         self._by_route: dict[bytes, _RouteScore] = {}
 
-    def note_good(self, route: bytes, now: float) -> None:
+    def record_success(self, route: bytes, now: float) -> None:
         """Subtract the weight of a good response."""
-        self._lost_total = max(self._lost_total - defaults.GOOD_WEIGHT, 0)
+        self._lost_total = max(self._lost_total - defaults.SUCCESS_WEIGHT, 0)
         score = self._get_route_score(route)
-        score.total = max(score.total - defaults.GOOD_WEIGHT, 0)
+        score.total = max(score.total - defaults.SUCCESS_WEIGHT, 0)
         score.consecutive_good += 1
         score.last_good_at = now
 
-    def note_failure(self, outcome: Outcome, route: bytes) -> None:
+    def record_failure(self, outcome: Outcome, route: bytes) -> None:
         """Add the weight of a failed request."""
         weight = _ROUTE_WEIGHTS.get(outcome)
         if weight is None:
@@ -91,7 +91,7 @@
         score.total = _add_capped(score.total, weight)
         score.consecutive_good = 0
 
-    def take_back_silence(self) -> None:
+    def undo_timeout(self) -> None:
         """Undo a failure: a request counted as silent got a response."""
         self._lost_total = max(self._lost_total - defaults.LOST_WEIGHT, 0)
 
@@ -104,14 +104,14 @@
         )
 
     def _cap(self, route: bytes, total: float, now: float) -> float:
-        if total <= defaults.ONE_ROUTE_SCORE:
+        if total <= defaults.MAX_SINGLE_ROUTE_SCORE:
             return total
         is_other_served = any(
             score.is_served(now)
             for other, score in self._by_route.items()
             if other != route
         )
-        return defaults.ONE_ROUTE_SCORE if is_other_served else total
+        return defaults.MAX_SINGLE_ROUTE_SCORE if is_other_served else total
 
     def _get_route_score(self, route: bytes) -> _RouteScore:
         score = self._by_route.get(route)
@@ -124,4 +124,4 @@
 
 
 def _add_capped(total: float, weight: float) -> float:
-    return min(total + weight, defaults.CEILING)
+    return min(total + weight, defaults.MAX_SCORE)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/state.py
@@ -5,28 +5,30 @@
 from keelgap_agent.packets.events import EnvelopeArrived
 from keelgap_agent.packets.outcomes import defaults
 from keelgap_agent.packets.outcomes.ejection import Ejection
-from keelgap_agent.packets.outcomes.score import Score
+from keelgap_agent.packets.outcomes.score import OutlierScore
 
-__all__ = ('GivenUp', 'Outcomes', 'Work')
+__all__ = ('AbandonedFlow', 'OutcomeTracker', 'InFlightRequest')
 
 
-class Work:
+class InFlightRequest:
     """A request that the upstream has received and not yet answered."""
 
-    __slots__ = ('answers', 'before', 'key', 'latest')
+    __slots__ = ('responses', 'requests_ahead', 'key', 'last_packet_at')
 
-    def __init__(self, key: bytes, now: float, answers: int, busy: int) -> None:
+    def __init__(
+        self, key: bytes, now: float, responses: int, busy: int
+    ) -> None:
         """Start with the first packet of the request."""
         self.key = key
         #: When the latest packet of the request was sent to the upstream.
-        self.latest = now
+        self.last_packet_at = now
         #: Responses of the upstream before this request arrived.
-        self.answers = answers
+        self.responses = responses
         #: Requests in flight when this one arrived.
-        self.before = busy
+        self.requests_ahead = busy
 
 
-class GivenUp(NamedTuple):
+class AbandonedFlow(NamedTuple):
     """A flow that was queued at this agent and then abandoned."""
 
     abandoned_at: float
@@ -35,109 +37,111 @@
     is_reset: bool
 
 
-class Outcomes:
+class OutcomeTracker:
     """Outcomes of the upstream's requests, as seen in their packets."""
 
     def __init__(self, now: float) -> None:
         """Start without any request."""
-        self.score = Score()
+        self.score = OutlierScore()
         self.ejection = Ejection()
         #: Whether a change must be reported to all balancers at once.
-        self.has_news = False
+        self.has_unreported_change = False
         #: Balancers with outdated information, which get a report before
         #: anything else that is sent to them.
-        self.untold: set[str] = set()
+        self.stale_balancers: set[str] = set()
         #: Number of responses of the upstream so far.
-        self.answers = 0
+        self.responses = 0
         #: Requests in flight, the one without a packet for longest first.
-        self.at_work: dict[Work, None] = {}
+        self.in_flight: dict[InFlightRequest, None] = {}
         #: Requests that were counted as silent and are still in flight.
-        self.stuck: set[Work] = set()
+        self.timed_out: set[InFlightRequest] = set()
         #: Opening packets without a reply by flow key, oldest first.
-        self.unopened: dict[bytes, EnvelopeArrived] = {}
+        self.unanswered_openings: dict[bytes, EnvelopeArrived] = {}
         #: Flows whose caller or balancer was told that they were abandoned,
         #: by flow key, oldest first.
-        self.given_up: dict[bytes, GivenUp] = {}
-        self.began = now
+        self.abandoned_flows: dict[bytes, AbandonedFlow] = {}
+        self.started_at = now
         #: Since when this process has run without a pause.
-        self.awake_since = now
+        self.running_since = now
         self.ticked_at = now
 
-    def begin(self, key: bytes, now: float, busy: int) -> Work:
+    def track(self, key: bytes, now: float, busy: int) -> InFlightRequest:
         """Start to track a request that is sent to the upstream."""
-        request = Work(key, now, self.answers, busy)
-        self.at_work[request] = None
+        request = InFlightRequest(key, now, self.responses, busy)
+        self.in_flight[request] = None
         return request
 
-    def go_on(self, request: Work, now: float) -> None:
+    def record_packet(self, request: InFlightRequest, now: float) -> None:
         """Record that another packet of a request was sent."""
-        if request in self.stuck:
+        if request in self.timed_out:
             return
-        self.at_work.pop(request)
-        self.at_work[request] = None
-        request.latest = now
+        self.in_flight.pop(request)
+        self.in_flight[request] = None
+        request.last_packet_at = now
 
-    def end(self, request: Work) -> None:
+    def untrack(self, request: InFlightRequest) -> None:
         """Stop tracking a request that is no longer in flight."""
-        self.at_work.pop(request, None)
-        self.stuck.discard(request)
+        self.in_flight.pop(request, None)
+        self.timed_out.discard(request)
 
-    def judge_silent(self, request: Work) -> None:
+    def mark_timed_out(self, request: InFlightRequest) -> None:
         """Mark a request for which no response is expected any more."""
-        self.at_work.pop(request, None)
-        self.stuck.add(request)
+        self.in_flight.pop(request, None)
+        self.timed_out.add(request)
 
-    def note_answer(self, request: Work | None) -> None:
+    def record_response(self, request: InFlightRequest | None) -> None:
         """Count a response.
 
         A response to a request that was counted as silent shows that the
         upstream is slow rather than unresponsive.
         """
-        self.answers += 1
-        if request in self.stuck:
-            self.score.take_back_silence()
-            self.ejection.is_silent = False
+        self.responses += 1
+        if request in self.timed_out:
+            self.score.undo_timeout()
+            self.ejection.is_unresponsive = False
 
-    def would_lose(self, key: bytes) -> bool:
+    def would_time_out(self, key: bytes) -> bool:
         """Return whether a request sent to the upstream now is surely lost.
 
         That is so if the upstream is ejected and has sent no response since
         it received a request that is silent.  Only trials show whether it
         has recovered.
         """
-        if not self.ejection.is_out or self.ejection.is_taken(key):
+        if not self.ejection.is_ejected or self.ejection.is_admitted(key):
             return False
-        return any(request.answers == self.answers for request in self.stuck)
+        return any(
+            request.responses == self.responses for request in self.timed_out
+        )
 
-    def count_stuck(self) -> int:
+    def count_ignored(self) -> int:
         """Return the number of requests that leave their capacity to trials.
 
         While the upstream is ejected these are the silent ones.
         """
-        return len(self.stuck) if self.ejection.is_out else 0
+        return len(self.timed_out) if self.ejection.is_ejected else 0
 
     def forget(self, key: bytes) -> None:
         """Discard everything that is stored about a flow."""
-        self.unopened.pop(key, None)
+        self.unanswered_openings.pop(key, None)
         self.ejection.forget(key)
 
-    def give_up(self, key: bytes, now: float, *, is_reset: bool) -> None:
+    def abandon(self, key: bytes, now: float, *, is_reset: bool) -> None:
         """Remember that a flow was abandoned."""
         self.forget(key)
-        if len(self.given_up) >= defaults.MAX_GIVEN_UP:
-            self.given_up.pop(next(iter(self.given_up)))
-        self.given_up[key] = GivenUp(now, is_reset)
+        if len(self.abandoned_flows) >= defaults.MAX_ABANDONED:
+            self.abandoned_flows.pop(next(iter(self.abandoned_flows)))
+        self.abandoned_flows[key] = AbandonedFlow(now, is_reset)
 
     def tick(self, now: float) -> None:
         """Detect pauses of this process, expire old entries, update trials."""
-        if now - self.ticked_at > defaults.PAUSE_SECONDS:
-            self.awake_since = now
+        if now - self.ticked_at > defaults.PROCESS_PAUSE_SECONDS:
+            self.running_since = now
         self.ticked_at = now
-        limit = now - defaults.GIVEN_UP_SECONDS
-        for key, flow in tuple(self.given_up.items()):
+        limit = now - defaults.ABANDONED_SECONDS
+        for key, flow in tuple(self.abandoned_flows.items()):
             if flow.abandoned_at > limit:
                 break
-            self.given_up.pop(key)
+            self.abandoned_flows.pop(key)
         was_wanted = self.ejection.wants_trial
         self.ejection.update(now)
-        self.has_news |= self.ejection.wants_trial != was_wanted
+        self.has_unreported_change |= self.ejection.wants_trial != was_wanted
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/telling.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/telling.py
@@ -4,7 +4,7 @@
 from keelgap_agent.packets.effects import AgentEffect, SendToPeer
 from keelgap_agent.packets.state import AgentState
 
-__all__ = ('make_report_to', 'tell_news')
+__all__ = ('make_report_to', 'prepend_reports')
 
 Effects = tuple[AgentEffect, ...]
 
@@ -24,19 +24,19 @@
     return state.send(host, EnvelopeKind.REPORT, content)
 
 
-def tell_news(state: AgentState, effects: Effects) -> Effects:
+def prepend_reports(state: AgentState, effects: Effects) -> Effects:
     """Return the effects, preceded by reports if the ejection has changed.
 
     A balancer to which a flow is returned then already knows the reason, and
     offers no further flows.
     """
     outcomes = state.outcomes
-    if not outcomes.has_news and not outcomes.untold:
+    if not outcomes.has_unreported_change and not outcomes.stale_balancers:
         return effects
-    hosts = outcomes.untold
-    if outcomes.has_news:
+    hosts = outcomes.stale_balancers
+    if outcomes.has_unreported_change:
         hosts = hosts | state.balancers.subscribers.keys()
-    outcomes.has_news = False
-    outcomes.untold = set()
+    outcomes.has_unreported_change = False
+    outcomes.stale_balancers = set()
     reports = tuple(make_report_to(state, host) for host in sorted(hosts))
     return (*reports, *effects)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/verdicts.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/verdicts.py
@@ -4,11 +4,11 @@
 
 from keelgap_agent.packets.effects import AgentEffect, Decided
 from keelgap_agent.packets.outcomes import defaults
-from keelgap_agent.packets.outcomes.giving_up import give_up_all
-from keelgap_agent.packets.outcomes.score import Outcome, Score
+from keelgap_agent.packets.outcomes.giving_up import abandon_queued_flows
+from keelgap_agent.packets.outcomes.score import Outcome, OutlierScore
 from keelgap_agent.packets.state import AgentState
 
-__all__ = ('note_outcome',)
+__all__ = ('record_outcome',)
 
 Effects = tuple[AgentEffect, ...]
 _MILLISECONDS: Final = 1000
@@ -17,7 +17,7 @@
 _ROUTE_OFFSET: Final = 6
 
 
-def note_outcome(
+def record_outcome(
     state: AgentState,
     key: bytes,
     outcome: Outcome,
@@ -27,13 +27,15 @@
     outcomes = state.outcomes
     route = key[_ROUTE_OFFSET:]
     if outcome is Outcome.ANSWERED:
-        outcomes.score.note_good(route, now)
+        outcomes.score.record_success(route, now)
         return (
-            _record_success(state, key, now) if outcomes.ejection.is_out else ()
+            _record_success(state, key, now)
+            if outcomes.ejection.is_ejected
+            else ()
         )
-    outcomes.score.note_failure(outcome, route)
+    outcomes.score.record_failure(outcome, route)
     failure = Decided(f'outcome_{outcome.value}')
-    if outcomes.ejection.is_out:
+    if outcomes.ejection.is_ejected:
         return (failure, *_record_failure(state, key, outcome, now))
     if outcomes.score.compute(now) < defaults.EJECTION_SCORE:
         return (failure,)
@@ -47,9 +49,9 @@
     now: float,
 ) -> Effects:
     outcomes = state.outcomes
-    is_silent = _proves_unresponsive(state, outcome)
-    outcomes.ejection.eject(now, is_silent=is_silent)
-    outcomes.has_news = True
+    is_unresponsive = _proves_unresponsive(state, outcome)
+    outcomes.ejection.eject(now, is_unresponsive=is_unresponsive)
+    outcomes.has_unreported_change = True
     fields = {
         **_describe(state, key, outcome, now),
         'busy': state.busy,
@@ -57,7 +59,7 @@
         'answer_ms': round(state.answer_seconds * _MILLISECONDS, 1),
     }
     ejected = Decided('upstream_ejected', fields)
-    return (ejected, *give_up_all(state, now))
+    return (ejected, *abandon_queued_flows(state, now))
 
 
 def _record_failure(
@@ -69,11 +71,11 @@
     ejection = state.outcomes.ejection
     if key not in ejection.trials:
         return _check_responsiveness(state, outcome, now)
-    ejection.is_silent = outcome is Outcome.SILENT
-    ejection.note_trial(key, now, is_good=False)
-    state.outcomes.has_news = True
+    ejection.is_unresponsive = outcome is Outcome.SILENT
+    ejection.record_trial(key, now, is_good=False)
+    state.outcomes.has_unreported_change = True
     trial = Decided('upstream_trial', _describe(state, key, outcome, now))
-    return (trial, *give_up_all(state, now))
+    return (trial, *abandon_queued_flows(state, now))
 
 
 def _check_responsiveness(
@@ -83,10 +85,10 @@
 ) -> Effects:
     """Abandon queued flows if an ejected upstream proves unresponsive."""
     ejection = state.outcomes.ejection
-    if ejection.is_silent or not _proves_unresponsive(state, outcome):
+    if ejection.is_unresponsive or not _proves_unresponsive(state, outcome):
         return ()
-    ejection.is_silent = True
-    return give_up_all(state, now)
+    ejection.is_unresponsive = True
+    return abandon_queued_flows(state, now)
 
 
 def _proves_unresponsive(state: AgentState, outcome: Outcome) -> bool:
@@ -95,24 +97,24 @@
     It takes as many silent requests as would eject an upstream, and at least
     one response before: until then the usual response time is not known.
     """
-    if outcome is not Outcome.SILENT or not state.outcomes.answers:
+    if outcome is not Outcome.SILENT or not state.outcomes.responses:
         return False
-    silence_score = len(state.outcomes.stuck) * defaults.LOST_WEIGHT
+    silence_score = len(state.outcomes.timed_out) * defaults.LOST_WEIGHT
     return silence_score >= defaults.EJECTION_SCORE
 
 
 def _record_success(state: AgentState, key: bytes, now: float) -> Effects:
     outcomes = state.outcomes
     ejection = outcomes.ejection
-    if not ejection.is_taken(key):
+    if not ejection.is_admitted(key):
         return ()
-    ejection.note_trial(key, now, is_good=True)
-    outcomes.has_news = True
+    ejection.record_trial(key, now, is_good=True)
+    outcomes.has_unreported_change = True
     fields = _describe(state, key, Outcome.ANSWERED, now)
     if not ejection.has_passed():
         return (Decided('upstream_trial', fields),)
-    ejection.end(now)
-    outcomes.score = Score(defaults.RETURN_SCORE)
+    ejection.return_to_service(now)
+    outcomes.score = OutlierScore(defaults.RETURN_SCORE)
     return (Decided('upstream_returned', fields),)
 
 
@@ -127,6 +129,6 @@
         'flow': state.format.describe_key(key),
         'outcome': outcome.value,
         'score': round(outcomes.score.compute(now), 2),
-        'wait': outcomes.ejection.wait,
+        'wait': outcomes.ejection.wait_seconds,
         'good_trials': outcomes.ejection.good_trials,
     }
--- a/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
@@ -38,16 +38,19 @@
 from keelgap_agent.packets.flows import Flow
 from keelgap_agent.packets.notices import handle_notice
 from keelgap_agent.packets.outcomes.giving_up import (
-    answer_given_up,
-    drop_given_up,
+    answer_abandoned_flow,
+    drop_abandoned_flow,
 )
 from keelgap_agent.packets.outcomes.judging import (
-    judge_answer,
-    judge_silence,
-    note_upstream_packet,
+    detect_timeouts,
+    record_opening_reply,
+    record_packet_outcome,
     record_work,
 )
-from keelgap_agent.packets.outcomes.telling import make_report_to, tell_news
+from keelgap_agent.packets.outcomes.telling import (
+    make_report_to,
+    prepend_reports,
+)
 from keelgap_agent.packets.registration import (
     handle_resync,
     refresh_registrations,
@@ -60,11 +63,11 @@
     log_requests_unanswered,
 )
 from keelgap_agent.packets.scheduling.later import (
-    begins_to_wait,
-    end_waiting,
-    hold_later,
-    settle_bounce,
-    take_more,
+    handle_bounce,
+    handle_subsequent_packet,
+    must_queue,
+    queue_subsequent_request,
+    settle_queued_request,
 )
 from keelgap_agent.packets.state import AgentState
 from keelgap_agent.packets.untold import (
@@ -88,7 +91,7 @@
 ) -> tuple[AgentState, Effects]:
     """Return the state after an event and the effects for the driver."""
     effects = _HANDLERS[type(event)](state, event)
-    return state, tell_news(state, effects)
+    return state, prepend_reports(state, effects)
 
 
 def _handle_envelope(state: AgentState, event: EnvelopeArrived) -> Effects:
@@ -151,8 +154,12 @@
     """Return the handler of a packet whose request waits; else None."""
     waiting = state.queued.get(key)
     if waiting is not None:
-        return take_more if waiting.is_subsequent else handle_queued_packet
-    return hold_later if begins_to_wait(state, flow, event) else None
+        return (
+            handle_subsequent_packet
+            if waiting.is_subsequent
+            else handle_queued_packet
+        )
+    return queue_subsequent_request if must_queue(state, flow, event) else None
 
 
 def _forward_packet(
@@ -191,8 +198,8 @@
     packet is forwarded, and the upstream bounces it if it does not.
     """
     envelope = event.envelope
-    if key in state.outcomes.given_up:
-        return answer_given_up(state, key, event)
+    if key in state.outcomes.abandoned_flows:
+        return answer_abandoned_flow(state, key, event)
     if envelope.kind in OPENING_KINDS:
         handler = queue_opening if awaits_first_notice(state) else admit_opening
         return handler(state, key, event)
@@ -234,8 +241,8 @@
         return _return_bounced_packet(state, datagram, event.now)
     now = event.now
     key = state.format.upstream_key(datagram)
-    if key in state.outcomes.given_up:
-        return drop_given_up()
+    if key in state.outcomes.abandoned_flows:
+        return drop_abandoned_flow()
     flow = state.flows.get(key)
     if flow is None:
         # The flow was opened before this process started.
@@ -244,14 +251,14 @@
             state.flows[key] = flow
     flow.last_seen_at = now
     flow.confirmed = True
-    note_upstream_packet(state, key, flow, datagram)
+    record_opening_reply(state, key, flow, datagram)
     owned = _answer_search(state, key, flow)
     if not flow.is_registered and key in state.flows:
         owned = (*owned, *register_flow(state, key, flow, now))
     answered = _record_answer(state, key, flow, datagram, now)
     # Must follow the end of the flow: data forwarded on an ended flow does not
     # count as work.
-    settled = end_waiting(state, key, flags, now)
+    settled = settle_queued_request(state, key, flags, now)
     released = release_queued(state, now) if state.queued else ()
     return (SendToCaller(datagram), *owned, *answered, *settled, *released)
 
@@ -274,7 +281,7 @@
     now: float,
 ) -> Effects:
     answered: Effects = ()
-    classified = judge_answer(state, key, flow, datagram, now)
+    classified = record_packet_outcome(state, key, flow, datagram, now)
     flags = state.format.flags(datagram)
     if state.format.data_length(datagram):
         state.record_work(flow, datagram, now)
@@ -298,9 +305,9 @@
     host, hop, kind = state.balancers.read_mark(state.format.mark(datagram))
     packet = state.format.without_bounce(datagram)
     key = state.format.caller_key(packet)
-    if key in state.outcomes.given_up:
-        return drop_given_up()
-    lost = settle_bounce(state, key, packet, now)
+    if key in state.outcomes.abandoned_flows:
+        return drop_abandoned_flow()
+    lost = handle_bounce(state, key, packet, now)
     state.forget(key)
     if host is None:
         dropped = Decided('drop_bounce_unknown_mark')
@@ -320,7 +327,7 @@
 
 def _handle_timer(state: AgentState, event: TimerFired) -> Effects:
     now = event.now
-    effects = judge_silence(state, now)
+    effects = detect_timeouts(state, now)
     if now - state.swept_at >= defaults.SWEEP_INTERVAL_SECONDS:
         state.swept_at = now
         state.directory.expire(now)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/refusals.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/refusals.py
@@ -1,9 +1,9 @@
 """Conditions under which an agent refuses a new flow."""
 
 from keelgap_agent.packets import defaults
+from keelgap_agent.packets.capacity import NO_TIME, cannot_be_served
 from keelgap_agent.packets.events import EnvelopeArrived
 from keelgap_agent.packets.flows import QueuedRequest
-from keelgap_agent.packets.room import NO_TIME, lacks_time
 from keelgap_agent.packets.state import AgentState
 
 __all__ = ('find_refusal',)
@@ -29,4 +29,8 @@
         return 'miss_queue_full'
     if not state.features.admission:
         return None
-    return NO_TIME if lacks_time(state, request, event.envelope, now) else None
+    return (
+        NO_TIME
+        if cannot_be_served(state, request, event.envelope, now)
+        else None
+    )
--- a/packages/keelgap-agent/src/keelgap_agent/packets/room/__init__.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/room/__init__.py
@@ -1,17 +1,17 @@
 """Capacity of an upstream, and early refusal of requests that exceed it."""
 
-from keelgap_agent.packets.room.estimates import Room
-from keelgap_agent.packets.room.order import choose_under_pressure
-from keelgap_agent.packets.room.verdicts import (
+from keelgap_agent.packets.capacity.estimates import CapacityEstimate
+from keelgap_agent.packets.capacity.order import choose_under_overload
+from keelgap_agent.packets.capacity.verdicts import (
     NO_TIME,
-    compute_room_ms,
-    lacks_time,
+    cannot_be_served,
+    estimate_start_ms,
 )
 
 __all__ = (
     'NO_TIME',
-    'Room',
-    'choose_under_pressure',
-    'compute_room_ms',
-    'lacks_time',
+    'CapacityEstimate',
+    'choose_under_overload',
+    'estimate_start_ms',
+    'cannot_be_served',
 )
--- a/packages/keelgap-agent/src/keelgap_agent/packets/room/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/room/defaults.py
@@ -3,69 +3,69 @@
 from typing import Final
 
 __all__ = (
-    'FEWEST_ANSWERS',
-    'FEWEST_LOAD_SECONDS',
+    'MIN_RESPONSES',
+    'MIN_LOAD_SECONDS',
     'HANDSHAKE_SECONDS',
-    'LATE_SHARE',
-    'LOAD_SECONDS',
-    'MARGIN_WORKS',
-    'MOST_HIGHER_LOAD',
-    'OVERTAKING_SECONDS',
-    'PACE_WEIGHT',
-    'PRESSED_SECONDS',
+    'FIRST_TRY_LATE_SHARE',
+    'LOAD_WINDOW_SECONDS',
+    'MARGIN_SERVICE_TIMES',
+    'MAX_HIGHER_PRIORITY_LOAD',
+    'HIGHER_PRIORITY_WINDOW_SECONDS',
+    'RESPONSE_INTERVAL_WEIGHT',
+    'OVERLOAD_SECONDS',
     'REFUSED_WEIGHT',
     'RESCUE_SHARE',
     'RETRY_AGE_MS',
-    'SURE_FACTOR',
+    'LATE_EXCESS_FACTOR',
 )
 
 #: Responses of a fully used upstream that are needed before any request is
 #: refused.  Fewer say too little about how long requests take.
-FEWEST_ANSWERS: Final = 10
+MIN_RESPONSES: Final = 10
 
 #: Weight of the latest response in the mean response interval.  An upstream
 #: that turned slow sends twenty responses in half a second, which is a
 #: fraction of the time that callers wait.
-PACE_WEIGHT: Final = 0.05
+RESPONSE_INTERVAL_WEIGHT: Final = 0.05
 
 #: The arrivals of so many seconds predict how many requests of a higher
 #: priority will overtake a queued one.
-OVERTAKING_SECONDS: Final = 1.0
+HIGHER_PRIORITY_WINDOW_SECONDS: Final = 1.0
 
 #: If requests of a higher priority use this share of the upstream or more, too
 #: little is left to predict a start for the others.
-MOST_HIGHER_LOAD: Final = 0.95
+MAX_HIGHER_PRIORITY_LOAD: Final = 0.95
 
 #: The arrivals of so many seconds give the usual load.  A burst of a few
 #: seconds changes it little, so late requests can count on the capacity that
 #: is free after a burst.
-LOAD_SECONDS: Final = 30.0
+LOAD_WINDOW_SECONDS: Final = 30.0
 
 #: The demand since the start of this process counts as if it had arrived over
 #: at least so many seconds.  After an outage all callers return at once, and
 #: nobody would be served if they counted as the usual load.
-FEWEST_LOAD_SECONDS: Final = 5.0
+MIN_LOAD_SECONDS: Final = 5.0
 
 #: Late requests are refused only if they exceed the capacity that the usual
 #: load leaves by this factor.  After a short burst it is better to serve
 #: callers late than to refuse them.
-SURE_FACTOR: Final = 6.0
+LATE_EXCESS_FACTOR: Final = 6.0
 
 #: Safety margin before the deadline of first tries, in multiples of the
 #: service time.  Service times vary, and retries after a refusal may use the
 #: margin.
-MARGIN_WORKS: Final = 1.5
+MARGIN_SERVICE_TIMES: Final = 1.5
 
 #: Share of the capacity for late requests that first tries may use.  The rest
 #: is for callers that were refused before.
-LATE_SHARE: Final = 0.5
+FIRST_TRY_LATE_SHARE: Final = 0.5
 
 #: A new flow without its request for so many seconds does not count as queued:
 #: a caller that is still there sends the request within a round trip.
 HANDSHAKE_SECONDS: Final = 0.25
 
 #: For so many seconds after a refusal, capacity is considered insufficient.
-PRESSED_SECONDS: Final = 1.0
+OVERLOAD_SECONDS: Final = 1.0
 
 #: Weight of a refused flow in the load.  It is counted by each agent that was
 #: asked; their number is ``MIN_TIME_REFUSALS`` of the balancer.
--- a/packages/keelgap-agent/src/keelgap_agent/packets/room/order.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/room/order.py
@@ -4,18 +4,18 @@
 from typing import TYPE_CHECKING
 
 from keelgap_agent.packets import defaults as agent_defaults
-from keelgap_agent.packets.room import defaults
+from keelgap_agent.packets.capacity import defaults
 
 if TYPE_CHECKING:
     from keelgap_agent.packets.flows import QueuedRequest
     from keelgap_agent.packets.state import AgentState
 
-__all__ = ('choose_under_pressure',)
+__all__ = ('choose_under_overload',)
 
 _Rank = tuple[int, int, float]
 
 
-def choose_under_pressure(
+def choose_under_overload(
     state: 'AgentState',
     ready: Iterable[bytes],
     now: float,
@@ -30,8 +30,8 @@
     queued = state.queued
     ranks = {key: _rank(queued[key], now, response_time) for key in ready}
     first = max(ranks, key=ranks.__getitem__)
-    rescue_interval = state.room.pace / defaults.RESCUE_SHARE
-    if now - state.room.rescued_at < rescue_interval:
+    rescue_interval = state.capacity.response_interval / defaults.RESCUE_SHARE
+    if now - state.capacity.last_rescue_at < rescue_interval:
         return first
     about_to_leave = [
         key
@@ -40,7 +40,7 @@
     ]
     if not about_to_leave:
         return first
-    state.room.rescued_at = now
+    state.capacity.last_rescue_at = now
     return min(about_to_leave, key=lambda key: queued[key].latest_departure)
 
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/room/verdicts.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/room/verdicts.py
@@ -12,13 +12,13 @@
 from typing import TYPE_CHECKING, Final, NamedTuple
 
 from keelgap.packets.envelopes import Envelope
-from keelgap_agent.packets.room import defaults
+from keelgap_agent.packets.capacity import defaults
 
 if TYPE_CHECKING:
     from keelgap_agent.packets.flows import QueuedRequest
     from keelgap_agent.packets.state import AgentState
 
-__all__ = ('NO_TIME', 'compute_room_ms', 'lacks_time')
+__all__ = ('NO_TIME', 'estimate_start_ms', 'cannot_be_served')
 
 #: The reason for a refusal, as it is counted and logged.
 NO_TIME: Final = 'miss_no_time'
@@ -37,7 +37,7 @@
     late: int
 
 
-def lacks_time(
+def cannot_be_served(
     state: 'AgentState',
     queued: 'QueuedRequest',
     envelope: Envelope,
@@ -48,7 +48,7 @@
     Requests that have waited since an outage are never refused, since they had
     no chance to be served before.
     """
-    if queued.is_from_outage or not state.room.is_known:
+    if queued.is_from_outage or not state.capacity.has_estimate:
         return False
     if _can_start_now(state):
         return False
@@ -56,13 +56,13 @@
     is_first_try = envelope.wait.age_ms < defaults.RETRY_AGE_MS
     if _is_in_time(state, queued, queue, now, is_first_try):
         return False
-    share = defaults.LATE_SHARE if is_first_try else 1
+    share = defaults.FIRST_TRY_LATE_SHARE if is_first_try else 1
     return queue.late >= share * _compute_late_limit(state, queued, now)
 
 
 def _can_start_now(state: 'AgentState') -> bool:
     """Return whether a request would be sent to the upstream at once."""
-    return state.has_room and not state.queued
+    return state.has_capacity and not state.queued
 
 
 def _is_in_time(
@@ -72,15 +72,15 @@
     now: float,
     is_first_try: bool,
 ) -> bool:
-    service_time = state.room.pace * state.slots
-    margin = defaults.MARGIN_WORKS * service_time if is_first_try else 0
+    service_time = state.capacity.response_interval * state.slots
+    margin = defaults.MARGIN_SERVICE_TIMES * service_time if is_first_try else 0
     expected_at = (
         now + _estimate_start(state, queued, queue, now) + service_time
     )
     return expected_at + margin < queued.deadline
 
 
-def compute_room_ms(
+def estimate_start_ms(
     state: 'AgentState', queued: 'QueuedRequest', now: float
 ) -> int:
     """Return the milliseconds until a request like this one would start."""
@@ -92,7 +92,7 @@
 def _count_queued(
     state: 'AgentState', queued: 'QueuedRequest', now: float
 ) -> _Queue:
-    service_time = state.room.pace * state.slots
+    service_time = state.capacity.response_interval * state.slots
     ahead = 0
     late = 0
     for other in state.queued.values():
@@ -117,12 +117,12 @@
     now: float,
 ) -> float:
     """Return the seconds until the upstream starts on a new request."""
-    room = state.room
-    higher_load = room.compute_higher_load(queued.priority, now)
-    if higher_load > defaults.MOST_HIGHER_LOAD:
+    capacity = state.capacity
+    higher_load = capacity.compute_higher_priority_load(queued.priority, now)
+    if higher_load > defaults.MAX_HIGHER_PRIORITY_LOAD:
         return float(_MAX_WAIT_MS)
     responses_before = max(queue.ahead + state.busy + 1 - state.slots, 0)
-    return responses_before * room.pace / (1 - higher_load)
+    return responses_before * capacity.response_interval / (1 - higher_load)
 
 
 def _compute_late_limit(
@@ -135,8 +135,13 @@
     This is an estimate of those that the upstream can serve before the caller
     leaves, multiplied by a factor in favour of admission.
     """
-    room = state.room
-    service_time = room.pace * state.slots
+    capacity = state.capacity
+    service_time = capacity.response_interval * state.slots
     remaining = max(queued.latest_departure - now - service_time, 0)
-    spare_share = room.compute_spare(queued.priority, now)
-    return defaults.SURE_FACTOR * remaining * spare_share / room.pace
+    spare_share = capacity.compute_spare_share(queued.priority, now)
+    return (
+        defaults.LATE_EXCESS_FACTOR
+        * remaining
+        * spare_share
+        / capacity.response_interval
+    )
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/defaults.py
@@ -4,10 +4,10 @@
 
 __all__ = (
     'FULL_PACKET_OCTETS',
-    'OVERDUE_ANSWERS',
-    'OVERDUE_SECONDS',
-    'PASSED_OVER',
-    'PRIORITIES_COUNTED',
+    'OVERDUE_RESPONSE_FACTOR',
+    'MIN_OVERDUE_SECONDS',
+    'STARVED_INTERVAL',
+    'MAX_COUNTED_PRIORITY',
     'STARVED_SECONDS',
 )
 
@@ -22,8 +22,8 @@
 #: While the upstream has sent no response for as long, all requests count: what
 #: is sent to an upstream that hangs is lost, and what is queued here may still
 #: be answered.
-OVERDUE_ANSWERS: Final = 6
-OVERDUE_SECONDS: Final = 0.3
+OVERDUE_RESPONSE_FACTOR: Final = 6
+MIN_OVERDUE_SECONDS: Final = 0.3
 
 #: A request queued for longer than this is starved, and may go before all
 #: others.  Most routes aim at shorter response times, so its response is
@@ -33,8 +33,8 @@
 #: While requests are starved, one in so many requests sent to the upstream is a
 #: starved one.  A lower number serves starved requests sooner, and makes more
 #: of the others late.
-PASSED_OVER: Final = 32
+STARVED_INTERVAL: Final = 32
 
 #: Waiting times are measured by priority up to this number; those of lower
 #: priorities are counted under it as well.
-PRIORITIES_COUNTED: Final = 3
+MAX_COUNTED_PRIORITY: Final = 3
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/later.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/later.py
@@ -16,20 +16,20 @@
 from keelgap_agent.packets.effects import AgentEffect, Decided
 from keelgap_agent.packets.events import EnvelopeArrived
 from keelgap_agent.packets.flows import Flow, QueuedRequest
-from keelgap_agent.packets.outcomes.judging import judge_bounce
+from keelgap_agent.packets.outcomes.judging import record_bounce_outcome
 from keelgap_agent.packets.request_log import log_requests_unanswered
-from keelgap_agent.packets.scheduling.order import has_room
-from keelgap_agent.packets.scheduling.rests import note_length
-from keelgap_agent.packets.scheduling.terms import read_packet
+from keelgap_agent.packets.scheduling.order import has_capacity
+from keelgap_agent.packets.scheduling.rests import record_packet_length
+from keelgap_agent.packets.scheduling.route_policy import update_policy
 from keelgap_agent.packets.state import AgentState
 
 __all__ = (
-    'begins_to_wait',
-    'end_waiting',
-    'hold_later',
-    'pass_waiting',
-    'settle_bounce',
-    'take_more',
+    'must_queue',
+    'settle_queued_request',
+    'queue_subsequent_request',
+    'release_queued_request',
+    'handle_bounce',
+    'handle_subsequent_packet',
 )
 
 Effects = tuple[AgentEffect, ...]
@@ -37,7 +37,7 @@
 _MILLISECONDS: Final = 1000
 
 
-def begins_to_wait(
+def must_queue(
     state: AgentState,
     flow: Flow,
     event: EnvelopeArrived,
@@ -45,22 +45,24 @@
     """Return whether a packet begins a request that must be queued."""
     if not state.features.scheduling:
         return False
-    flow.terms = read_packet(event.envelope, flow.terms)
+    flow.route_policy = update_policy(event.envelope, flow.route_policy)
     datagram = event.envelope.content
-    if flow.terms is None or not _has_new_data(state, flow, datagram):
+    if flow.route_policy is None or not _has_new_data(state, flow, datagram):
         return False
-    is_continuation = flow.terms.goes_on or flow.busy_since is not None
+    is_continuation = (
+        flow.route_policy.may_continue or flow.busy_since is not None
+    )
     if is_continuation or flow.ended or not _may_queue(state, flow):
-        note_length(state, flow, datagram)
+        record_packet_length(state, flow, datagram)
         return False
     has_queued = any(queued.packets for queued in state.queued.values())
-    if has_queued or not has_room(state, event.now):
+    if has_queued or not has_capacity(state, event.now):
         return True
-    note_length(state, flow, datagram)
+    record_packet_length(state, flow, datagram)
     return False
 
 
-def hold_later(
+def queue_subsequent_request(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
@@ -77,7 +79,7 @@
     return (*effects, Decided('held_later', _describe(state, key, event.now)))
 
 
-def take_more(
+def handle_subsequent_packet(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
@@ -92,7 +94,7 @@
     if state.format.flags(datagram) & ENDS_FLOW:
         # The last data of a request may arrive with the caller's FIN.
         settled = (
-            pass_waiting(state, key, event.now)
+            release_queued_request(state, key, event.now)
             if has_data
             else _drop_abandoned(state, key, event.now)
         )
@@ -109,7 +111,7 @@
     return (*announced, *_store_packet(state, key, state.queued[key], event))
 
 
-def end_waiting(
+def settle_queued_request(
     state: AgentState,
     key: bytes,
     flags: int,
@@ -127,17 +129,19 @@
         fields = _describe(state, key, now)
         state.queued.pop(key)
         return (Decided('reset_waiting', fields),)
-    return pass_waiting(state, key, now)
+    return release_queued_request(state, key, now)
 
 
-def pass_waiting(state: AgentState, key: bytes, now: float) -> Effects:
+def release_queued_request(
+    state: AgentState, key: bytes, now: float
+) -> Effects:
     """Send the queued request of an open flow at once, if there is one."""
     if not _is_subsequent_queued(state, key):
         return ()
     return release_request(state, key, now)
 
 
-def settle_bounce(
+def handle_bounce(
     state: AgentState,
     key: bytes,
     packet: bytes,
@@ -149,9 +153,9 @@
     """
     flow = state.flows.get(key)
     if flow is None or flow.searched_by is not None:
-        return pass_waiting(state, key, now)
-    recorded = judge_bounce(state, key, flow, packet, now)
-    released = pass_waiting(state, key, now)
+        return release_queued_request(state, key, now)
+    recorded = record_bounce_outcome(state, key, flow, packet, now)
+    released = release_queued_request(state, key, now)
     return (
         *recorded,
         *released,
@@ -187,13 +191,13 @@
 
 def _make_queued(flow: Flow, event: EnvelopeArrived) -> QueuedRequest:
     now = event.now
-    terms = flow.terms
-    assert terms is not None
-    latest_departure = now + terms.patience
+    route_policy = flow.route_policy
+    assert route_policy is not None
+    latest_departure = now + route_policy.timeout_seconds
     return QueuedRequest(
         arrived_at=now,
-        priority=terms.priority,
-        deadline=now + terms.aim,
+        priority=route_policy.priority,
+        deadline=now + route_policy.slo_seconds,
         earliest_departure=latest_departure,
         latest_departure=latest_departure,
         is_from_outage=False,
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/order.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/order.py
@@ -7,10 +7,10 @@
 from keelgap_agent.packets.effects import AgentEffect, Observed
 from keelgap_agent.packets.flows import QueuedRequest
 from keelgap_agent.packets.scheduling import defaults
-from keelgap_agent.packets.scheduling.rests import note_released
+from keelgap_agent.packets.scheduling.rests import record_released_request
 from keelgap_agent.packets.state import AgentState
 
-__all__ = ('choose_next', 'has_room', 'observe_wait')
+__all__ = ('choose_next', 'has_capacity', 'observe_wait')
 
 #: The rank in ``QueuedRequest.rank`` of callers from an outage that are about
 #: to leave.
@@ -21,14 +21,14 @@
 _MAX_DEADLINE_SHARE: Final = 0.5
 
 
-def has_room(state: AgentState, now: float) -> bool:
+def has_capacity(state: AgentState, now: float) -> bool:
     """Return whether the upstream can take another request."""
-    state.work.note_answers(now, state.answer_seconds)
-    if state.has_room:
+    state.work.record_mean_response(now, state.answer_seconds)
+    if state.has_capacity:
         return True
     if not state.features.scheduling:
         return False
-    in_flight = state.work.count_current(now)
+    in_flight = state.work.count_not_overdue(now)
     return in_flight < state.slots + agent_defaults.PREFETCH_COUNT
 
 
@@ -49,7 +49,7 @@
         return max(ready, key=lambda key: queued[key].rank(now, response_time))
     best = max(ready, key=lambda key: _rank(queued[key], now, response_time))
     chosen = _find_starved(state, ready, now) or best
-    state.work.served_at[queued[chosen].priority] = now
+    state.work.last_served_at[queued[chosen].priority] = now
     return chosen
 
 
@@ -75,15 +75,15 @@
     ]
     if not starved:
         return None
-    state.work.passed_over += 1
-    if state.work.passed_over < defaults.PASSED_OVER:
+    state.work.released_since_starved += 1
+    if state.work.released_since_starved < defaults.STARVED_INTERVAL:
         return None
-    state.work.passed_over = 0
-    served_at = state.work.served_at
+    state.work.released_since_starved = 0
+    last_served_at = state.work.last_served_at
     return min(
         starved,
         key=lambda key: (
-            served_at.get(queued[key].priority, float('-inf')),
+            last_served_at.get(queued[key].priority, float('-inf')),
             queued[key].arrived_at,
         ),
     )
@@ -101,8 +101,8 @@
     waited = Observed('wait_seconds', now - queued.arrived_at)
     if not state.features.scheduling:
         return (waited,)
-    note_released(state, queued)
-    priority_label = min(queued.priority, defaults.PRIORITIES_COUNTED)
+    record_released_request(state, queued)
+    priority_label = min(queued.priority, defaults.MAX_COUNTED_PRIORITY)
     by_priority = Observed(
         f'wait_seconds_priority_{priority_label}', now - queued.arrived_at
     )
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/rests.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/rests.py
@@ -10,24 +10,26 @@
 from keelgap_agent.packets.scheduling import defaults
 from keelgap_agent.packets.state import AgentState
 
-__all__ = ('note_length', 'note_released')
+__all__ = ('record_packet_length', 'record_released_request')
 
 
-def note_length(state: AgentState, flow: Flow, datagram: bytes) -> None:
+def record_packet_length(
+    state: AgentState, flow: Flow, datagram: bytes
+) -> None:
     """Record whether the latest data of a caller filled its packet."""
-    terms = flow.terms
-    if terms is None:
+    route_policy = flow.route_policy
+    if route_policy is None:
         return
     length = state.format.data_length(datagram)
-    goes_on = length >= defaults.FULL_PACKET_OCTETS
-    if goes_on != terms.goes_on:
-        flow.terms = terms._replace(goes_on=goes_on)
+    may_continue = length >= defaults.FULL_PACKET_OCTETS
+    if may_continue != route_policy.may_continue:
+        flow.route_policy = route_policy._replace(may_continue=may_continue)
 
 
-def note_released(state: AgentState, queued: QueuedRequest) -> None:
+def record_released_request(state: AgentState, queued: QueuedRequest) -> None:
     """Record the same for the last packet of a queued request that is sent."""
     for event in queued.packets.values():
         datagram = event.envelope.content
         flow = state.flows[state.format.caller_key(datagram)]
         if state.format.sequence(datagram) == flow.caller_sequence:
-            note_length(state, flow, datagram)
+            record_packet_length(state, flow, datagram)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/terms.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/terms.py
@@ -4,43 +4,43 @@
 
 from keelgap.packets.envelopes import OPENING_KINDS, Envelope
 
-__all__ = ('RouteTerms', 'read_opening', 'read_packet')
+__all__ = ('RoutePolicy', 'read_opening_policy', 'update_policy')
 
 _MILLISECONDS: Final = 1000
 
 
-class RouteTerms(NamedTuple):
+class RoutePolicy(NamedTuple):
     """What the route of a flow specifies for each request."""
 
     #: 0 is the highest priority.
     priority: int
     #: Response time objective: seconds within which a response is in time.
-    aim: float
+    slo_seconds: float
     #: Seconds after which a caller stops waiting; infinite if not known.
-    patience: float
+    timeout_seconds: float
     #: Whether the caller's last packet was full, so that the next one may
     #: continue the request.
-    goes_on: bool = False
+    may_continue: bool = False
 
 
-def read_opening(envelope: Envelope) -> RouteTerms:
+def read_opening_policy(envelope: Envelope) -> RoutePolicy:
     """Return the policy from the envelope of an opening packet.
 
     The envelope holds the time that this caller has left of both limits, and
     how long it has waited already; the limits are the sums.
     """
     wait = envelope.wait
-    return RouteTerms(
+    return RoutePolicy(
         envelope.priority,
         (envelope.left_ms + wait.age_ms) / _MILLISECONDS,
         (wait.patience_ms + wait.age_ms) / _MILLISECONDS,
     )
 
 
-def read_packet(
+def update_policy(
     envelope: Envelope,
-    policy: RouteTerms | None,
-) -> RouteTerms | None:
+    policy: RoutePolicy | None,
+) -> RoutePolicy | None:
     """Return the policy after a subsequent packet of a flow.
 
     The packet's envelope holds the current priority and response time objective
@@ -50,9 +50,12 @@
     """
     if envelope.kind in OPENING_KINDS or envelope.left_ms <= 0:
         return policy
-    aim = envelope.left_ms / _MILLISECONDS
+    slo_seconds = envelope.left_ms / _MILLISECONDS
     if policy is None:
-        return RouteTerms(envelope.priority, aim, float('inf'))
-    if (policy.priority, policy.aim) == (envelope.priority, aim):
+        return RoutePolicy(envelope.priority, slo_seconds, float('inf'))
+    if (policy.priority, policy.slo_seconds) == (
+        envelope.priority,
+        slo_seconds,
+    ):
         return policy
-    return policy._replace(priority=envelope.priority, aim=aim)
+    return policy._replace(priority=envelope.priority, slo_seconds=slo_seconds)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/work.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/work.py
@@ -4,10 +4,10 @@
 
 from keelgap_agent.packets.scheduling import defaults
 
-__all__ = ('WorkingFlow', 'Workload')
+__all__ = ('BusyFlow', 'Workload')
 
 
-class WorkingFlow(Protocol):
+class BusyFlow(Protocol):
     """A flow with a request in flight."""
 
     busy_since: float | None
@@ -20,38 +20,40 @@
         'mean_response_time',
         'last_response_at',
         'flows',
-        'passed_over',
-        'served_at',
+        'released_since_starved',
+        'last_served_at',
     )
 
     def __init__(self) -> None:
         """Start without any flow."""
         #: Flows with a request in flight, the one busy for longest first.
-        self.flows: dict[WorkingFlow, None] = {}
+        self.flows: dict[BusyFlow, None] = {}
         #: Requests sent to the upstream since the latest starved one, while
         #: others were starved.
-        self.passed_over = 0
+        self.released_since_starved = 0
         #: When a queued request was last sent to the upstream, by priority.
-        self.served_at: dict[int, float] = {}
+        self.last_served_at: dict[int, float] = {}
         #: The mean response time in seconds, and when it was seen to change.
         self.mean_response_time: float = 0
         self.last_response_at = float('-inf')
 
-    def note_answers(self, now: float, mean_response_time: float) -> None:
+    def record_mean_response(
+        self, now: float, mean_response_time: float
+    ) -> None:
         """Record the mean response time, which changes with each response."""
         if mean_response_time != self.mean_response_time:
             self.mean_response_time = mean_response_time
             self.last_response_at = now
 
-    def count_current(self, now: float) -> int:
+    def count_not_overdue(self, now: float) -> int:
         """Return how many flows have a request in flight that is not overdue.
 
         If the upstream has stopped responding, overdue requests count as well,
         so that it gets no more than before.
         """
         overdue_after = max(
-            defaults.OVERDUE_SECONDS,
-            defaults.OVERDUE_ANSWERS * self.mean_response_time,
+            defaults.MIN_OVERDUE_SECONDS,
+            defaults.OVERDUE_RESPONSE_FACTOR * self.mean_response_time,
         )
         busy = len(self.flows)
         if now - self.last_response_at >= overdue_after:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/server.py
@@ -177,17 +177,18 @@
             'waiting_later_requests': sum(
                 queued.is_subsequent for queued in state.queued.values()
             ),
-            'expected_wait_seconds': state.room.pace * len(state.queued),
+            'expected_wait_seconds': state.capacity.response_interval
+            * len(state.queued),
             'work_milliseconds': state.service_time.milliseconds,
             'balancers_heard': len(state.balancers.subscribers),
             'directory_nodes': len(state.registrar.streams),
             'directory_flows': len(state.directory.owners),
             'directory_agents': len(state.directory.agents),
             'directory_covered': len(state.directory.covered),
-            'upstream_ejected': state.outcomes.ejection.is_out,
+            'upstream_ejected': state.outcomes.ejection.is_ejected,
             'upstream_score': state.outcomes.score.compute(self.loop.clock()),
             'upstream_trials': len(state.outcomes.ejection.trials),
-            'silent_requests': len(state.outcomes.stuck),
+            'silent_requests': len(state.outcomes.timed_out),
             'zone_out_of_service': state.is_evacuated,
             'older_than_upstream': state.registrar.predates_upstream,
             'knows_all_flows': state.registrar.is_complete,
--- a/packages/keelgap-agent/src/keelgap_agent/packets/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/state.py
@@ -14,6 +14,7 @@
 from keelgap.packets.formats import PacketFormat
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.balancers import Balancers
+from keelgap_agent.packets.capacity import CapacityEstimate
 from keelgap_agent.packets.conf import (
     NO_WARM_UP_SETTINGS,
     WarmUpSettings,
@@ -21,10 +22,9 @@
 from keelgap_agent.packets.directory_state import DirectoryNode
 from keelgap_agent.packets.effects import SendToPeer, SendToUpstream
 from keelgap_agent.packets.flows import Flow, QueuedRequest
-from keelgap_agent.packets.outcomes.state import Outcomes
+from keelgap_agent.packets.outcomes.state import OutcomeTracker
 from keelgap_agent.packets.pace import ServiceTimeEstimator
 from keelgap_agent.packets.registrar import Registrar
-from keelgap_agent.packets.room import Room
 from keelgap_agent.packets.scheduling.work import Workload
 from keelgap_agent.packets.warm_up_limiter import WarmUpLimiter
 
@@ -53,9 +53,9 @@
         self.flows: dict[bytes, Flow] = {}
         self.registrar = Registrar(own_host, now)
         self.directory = DirectoryNode(now)
-        self.room = Room(now)
+        self.capacity = CapacityEstimate(now)
         self.warm_up_limiter = WarmUpLimiter(warm_up.excess, warm_up.slack, now)
-        self.outcomes = Outcomes(now)
+        self.outcomes = OutcomeTracker(now)
         #: Whether the operators took the availability zone out of service.
         self.is_evacuated = False
         #: Catalog revision from which ``is_evacuated`` was taken.
@@ -85,10 +85,10 @@
         """Reset outcomes and service time, after another upstream started."""
         for flow in self.flows.values():
             flow.work = None
-        given_up = self.outcomes.given_up
-        self.outcomes = Outcomes(now)
-        self.outcomes.given_up = given_up
-        self.outcomes.has_news = self.features.ejection
+        abandoned_flows = self.outcomes.abandoned_flows
+        self.outcomes = OutcomeTracker(now)
+        self.outcomes.abandoned_flows = abandoned_flows
+        self.outcomes.has_unreported_change = self.features.ejection
         self.service_time = ServiceTimeEstimator()
 
     def change_service(self, service: str, now: float) -> None:
@@ -125,7 +125,7 @@
             flows=len(self.flows),
             answer_ms=int(self.answer_seconds * _MILLISECONDS),
             closed=self.stopping_since is not None or self.is_evacuated,
-            is_ejected=self.outcomes.ejection.is_out,
+            is_ejected=self.outcomes.ejection.is_ejected,
             wants_trial=self.outcomes.ejection.wants_trial,
             waiting=len(self.queued),
             work_ms=self.service_time.milliseconds,
@@ -178,13 +178,13 @@
         return len(self.work.flows)
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Return whether the upstream can take another request.
 
         Before forwarding a request, check ``scheduling.order.has_capacity``
         instead, which also accounts for overdue requests.
         """
-        in_progress = self.busy - self.outcomes.count_stuck()
+        in_progress = self.busy - self.outcomes.count_ignored()
         return in_progress < self.slots + defaults.PREFETCH_COUNT
 
     def record_opening(self, now: float) -> None:
@@ -222,7 +222,7 @@
         weight = defaults.ANSWER_TIME_WEIGHT if self.answer_seconds else 1
         self.answer_seconds += weight * (duration - self.answer_seconds)
         self.cancel_request(flow)
-        self.room.note_answer(now, is_full=self.busy >= self.slots)
+        self.capacity.record_response(now, is_full=self.busy >= self.slots)
 
     def record_work(self, flow: Flow, datagram: bytes, now: float) -> None:
         """Update the service time from an answer that is not an error."""
@@ -238,7 +238,7 @@
             flow.busy_since = None
             self.work.flows.pop(flow, None)
         if flow.work is not None:
-            self.outcomes.end(flow.work)
+            self.outcomes.untrack(flow.work)
             flow.work = None
 
     def forget(self, key: bytes) -> None:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
@@ -327,8 +327,8 @@
         The routers still reach it then, but a balancer of another
         availability zone serves their callers better.
         """
-        is_silent = now - self.last_message_at > defaults.ISOLATED_SECONDS
-        is_isolated = is_silent and bool(self.state.by_host)
+        is_unresponsive = now - self.last_message_at > defaults.ISOLATED_SECONDS
+        is_isolated = is_unresponsive and bool(self.state.by_host)
         if is_isolated == self.is_isolated:
             return
         self.is_isolated = is_isolated
--- a/tests/packets/ejection_world.py
+++ b/tests/packets/ejection_world.py
@@ -245,7 +245,7 @@
         return [
             host
             for host, agent in self.agents.items()
-            if agent.outcomes.ejection.is_out
+            if agent.outcomes.ejection.is_ejected
         ]
 
     def list_decided(self, name: str) -> list[Any]:
--- a/tests/packets/machine.py
+++ b/tests/packets/machine.py
@@ -450,7 +450,7 @@
             ready = [
                 key for key, queued in agent.queued.items() if queued.packets
             ]
-            assert not (ready and agent.has_room)  # noqa: S101
+            assert not (ready and agent.has_capacity)  # noqa: S101
 
     def _find_holders(self, key: bytes) -> list[str]:
         """Return the hosts of the upstreams that hold an open flow."""
--- a/tests/packets/test_ejection.py
+++ b/tests/packets/test_ejection.py
@@ -199,7 +199,7 @@
         self.assertEqual(world.list_ejected(), [host])
         (ejected,) = world.list_decided('upstream_ejected')
         self.assertEqual(ejected['outcome'], 'silent')
-        self.assertGreater(world.agents[host].outcomes.answers, 4)
+        self.assertGreater(world.agents[host].outcomes.responses, 4)
 
     def test_data_for_another_upstream_prove_nothing(self) -> None:
         """Their caller chose the one that answered its opening first."""
@@ -233,16 +233,16 @@
     def test_few_trials_at_once(self) -> None:
         """One more for each good answer, and at most four."""
         ejection = Ejection()
-        ejection.eject(0, is_silent=False)
-        now = defaults.SHORTEST_WAIT_SECONDS
+        ejection.eject(0, is_unresponsive=False)
+        now = defaults.MIN_WAIT_SECONDS
         taken = []
-        for good in range(defaults.RETURN_ANSWERS):
+        for good in range(defaults.RETURN_RESPONSES):
             keys = [b'%d %d' % (good, number) for number in range(9)]
             for key in keys:
-                ejection.take(key, now, is_trial=True)
+                ejection.admit(key, now, is_trial=True)
             taken.append(len(ejection.trials))
             first = next(iter(ejection.trials))
-            ejection.note_trial(first, now, is_good=True)
+            ejection.record_trial(first, now, is_good=True)
         self.assertEqual(taken, [1, 2, 3, 4, 4, 4, 4])
         self.assertTrue(ejection.has_passed())
 
@@ -250,8 +250,8 @@
         """Fewer come of many upstreams that fail now and then."""
         world = World([serve, serve, serve])
         agent = next(iter(world.agents.values()))
-        agent.outcomes.ejection.eject(world.now, is_silent=False)
-        agent.outcomes.has_news = True
+        agent.outcomes.ejection.eject(world.now, is_unresponsive=False)
+        agent.outcomes.has_unreported_change = True
         play(world, 3, each_tick=4)
         self.assertEqual(world.list_ejected(), [])
         trials = world.list_decided('upstream_trial')
@@ -270,17 +270,17 @@
         (host,) = world.agents
         if usual:
             world.agents[host].answer_seconds = usual
-            world.agents[host].outcomes.answers = 1
+            world.agents[host].outcomes.responses = 1
         flows = [world.open() for _ in range(8)]
         for flow in flows:
             world.send_request(flow)
         self.assertGreater(len(world.agents[host].queued), 2)
         begun: dict[FlowName, float] = {}
         for _ in range(round((3 * seconds + 1) / 0.05)):
-            at_work = world.agents[host].work.flows
+            in_flight = world.agents[host].work.flows
             for flow in flows:
                 found = world.agents[host].flows.get(flow.key)
-                if found in at_work:
+                if found in in_flight:
                     begun.setdefault(flow, world.now)
             due = [
                 flow
@@ -577,7 +577,7 @@
         world.upstreams[host].treatment = serve
         world.ask()
         world.upstreams[host].treatment = fail_all(treatment)
-        world.advance(defaults.GRACE_SECONDS)
+        world.advance(defaults.STARTUP_GRACE_SECONDS)
         world.send('10.1.0.1', make_packet(flow, SYN, ack=1))
         for _ in range(8):
             world.send_request(world.open())
@@ -625,7 +625,7 @@
         host, other = world.upstreams
         while world.upstreams[host].seen < 4:
             world.ask()
-        while world.agents[host].has_room:
+        while world.agents[host].has_capacity:
             world.send_request(world.open())
         world.upstreams[host].treatment = fail_all('mute')
         flow = FlowName('100.64.0.8', 1, WRITE)
@@ -656,7 +656,7 @@
         agent = world.agents[host]
         self.assertEqual(world.list_ejected(), [host])
         trial = FlowName('100.64.0.8', 1, READ)
-        agent.outcomes.ejection.wait = 0
+        agent.outcomes.ejection.wait_seconds = 0
         agent.outcomes.ejection.update(world.now)
         world.send('10.1.0.1', make_packet(trial, SYN))
         self.assertIn(trial.key, agent.outcomes.ejection.trials)
@@ -668,16 +668,16 @@
         world, host, _ = self.hold()
         agent = world.agents[host]
         agent.answer_seconds = 0.1
-        first = next(iter(agent.outcomes.at_work)).key
+        first = next(iter(agent.outcomes.in_flight)).key
         world.advance(1)
         ejection = agent.outcomes.ejection
-        ejection.wait = 0
+        ejection.wait_seconds = 0
         ejection.update(world.now)
         world.send_request(world.open(READ))
         self.assertEqual(len(ejection.trials), 1)
         port = int.from_bytes(first[4:6], 'little')
         world.answer(host, FlowName('100.64.0.7', port, WRITE))
-        world.advance(defaults.LONGEST_SILENCE_SECONDS + 0.1)
+        world.advance(defaults.MAX_RESPONSE_TIMEOUT_SECONDS + 0.1)
         (trial,) = world.list_decided('upstream_trial')
         self.assertEqual(trial['outcome'], 'silent')
 
@@ -687,7 +687,7 @@
         (host,) = world.agents
         agent = world.agents[host]
         agent.answer_seconds = 2
-        agent.outcomes.ejection.eject(world.now, is_silent=True)
+        agent.outcomes.ejection.eject(world.now, is_unresponsive=True)
         world.advance(1.2)
         trial = world.open(READ)
         world.send_request(trial)
@@ -757,9 +757,9 @@
         agent = world.agents[holder]
         agent.outcomes.ejection.eject(
             world.now,
-            is_silent=True,
+            is_unresponsive=True,
         )
-        agent.outcomes.has_news = True
+        agent.outcomes.has_unreported_change = True
         world.advance(0.05)
         for host in world.balancers:
             if world.balancers[host].owners.get(key) is not None:
@@ -776,9 +776,9 @@
         for host in cut:
             world.agents[host].outcomes.ejection.eject(
                 world.now,
-                is_silent=True,
+                is_unresponsive=True,
             )
-            world.agents[host].outcomes.has_news = True
+            world.agents[host].outcomes.has_unreported_change = True
         world.advance(0.1)
         world.cut_off = cut
         ends = Counter(world.ask() for _ in range(20))
@@ -833,12 +833,12 @@
         host = next(iter(world.agents))
         world.agents[host].outcomes.ejection.eject(
             world.now,
-            is_silent=True,
+            is_unresponsive=True,
         )
-        world.agents[host].outcomes.has_news = True
+        world.agents[host].outcomes.has_unreported_change = True
         ends = play(world, 5, each_tick=6)
         self.assertEqual(set(ends), {'good r-read', 'good r-write'})
         self.assertEqual(world.list_ejected(), [])
-        wait = defaults.SHORTEST_WAIT_SECONDS
+        wait_seconds = defaults.MIN_WAIT_SECONDS
         (returned,) = world.list_decided('upstream_returned')
-        self.assertEqual(returned['wait'], wait)
+        self.assertEqual(returned['wait'], wait_seconds)
--- a/tests/packets/test_ejection_bounds.py
+++ b/tests/packets/test_ejection_bounds.py
@@ -88,8 +88,8 @@
     """Let agents find that their upstreams fail, and tell all balancers."""
     for host in hosts:
         outcomes = world.agents[host].outcomes
-        outcomes.ejection.eject(world.now, is_silent=False)
-        outcomes.has_news = True
+        outcomes.ejection.eject(world.now, is_unresponsive=False)
+        outcomes.has_unreported_change = True
     world.advance(0.05)
 
 
--- a/tests/packets/test_ejection_oracle.py
+++ b/tests/packets/test_ejection_oracle.py
@@ -64,8 +64,8 @@
         """Let an agent find that its upstream fails."""
         host = f'10.0.0.{number}'
         agent = self.agents[host]
-        agent.outcomes.ejection.eject(self.now, is_silent=True)
-        agent.outcomes.has_news = True
+        agent.outcomes.ejection.eject(self.now, is_unresponsive=True)
+        agent.outcomes.has_unreported_change = True
 
     @rule(number=st.sampled_from(HOSTS), service=st.sampled_from(('board',)))
     def eject_with_waiting(self, number: int, service: str) -> None:
@@ -101,7 +101,9 @@
         if not others or flow.key not in self.flows:
             return
         self._offer(others[0], EnvelopeKind.OPEN, make_packet(flow, SYN))
-        self.agents[others[0]].outcomes.ejection.eject(self.now, is_silent=True)
+        self.agents[others[0]].outcomes.ejection.eject(
+            self.now, is_unresponsive=True
+        )
         self._offer(others[0], EnvelopeKind.FORWARD, request)
         self.deliver_all()
 
@@ -114,7 +116,7 @@
         mute = f'10.0.0.{number}'
         if self.upstreams[mute].row.service != 'board':
             return
-        self._tick(defaults.GRACE_SECONDS)
+        self._tick(defaults.STARTUP_GRACE_SECONDS)
         self.mute = mute
         flow = FlowName('100.64.0.10', self.next_port, BOARD)
         self.next_port += 1
@@ -131,7 +133,7 @@
         self._drain_but(mute)
         if self._find_holders(flow.key):
             self.opened = flow.key
-        self._tick(2 * defaults.OPENING_SILENCE_SECONDS)
+        self._tick(2 * defaults.OPENING_TIMEOUT_SECONDS)
         self.opened = b''
         self.mute = ''
         self.listed = listed
@@ -140,7 +142,7 @@
     @rule(host=st.sampled_from(BALANCERS))
     def repeat_late(self, host: str) -> None:
         """Packets arrive that callers sent before they were told."""
-        limit = self.now - defaults.GIVEN_UP_SECONDS
+        limit = self.now - defaults.ABANDONED_SECONDS
         for told, flow in getattr(self, 'late', ()):
             if told > limit:
                 self._send(host, make_packet(flow, ACK, data=b'GET'))
@@ -267,6 +269,6 @@
 
     def test_a_late_packet_of_a_flow_given_up_is_found(self) -> None:
         """The same, for requests that run after all."""
-        patch = mock.patch.object(giving_up, '_forget', forget_given_up)
+        patch = mock.patch.object(giving_up, '_abandon', forget_given_up)
         with patch, self.assertRaisesRegex(AssertionError, 'after a reset'):
             run_machine(EjectingMachine, 400, STEPS, shrink=False)
--- a/tests/packets/test_room.py
+++ b/tests/packets/test_room.py
@@ -5,9 +5,9 @@
 from keelgap.packets.envelopes import CallerWait, EnvelopeKind
 from keelgap.packets.features import Features
 from keelgap_agent.packets import defaults as agent_defaults
+from keelgap_agent.packets.capacity import defaults
 from keelgap_agent.packets.effects import SendToPeer, SendToUpstream
 from keelgap_agent.packets.events import TimerFired
-from keelgap_agent.packets.room import defaults
 from keelgap_agent.packets.state import AgentState
 from tests.packets.building import ACK, FORMAT, make_packet
 from tests.packets.test_agent import FLOW, AgentTestCase
@@ -29,9 +29,9 @@
         super().setUp()
         features = Features(admission=True)
         self.state = AgentState(FORMAT, 'board', self.now, features=features)
-        for port in range(1, defaults.FEWEST_ANSWERS + 4):
+        for port in range(1, defaults.MIN_RESPONSES + 4):
             self.ask(port)
-        for port in range(1, defaults.FEWEST_ANSWERS + 4):
+        for port in range(1, defaults.MIN_RESPONSES + 4):
             self.now += WORK
             self.answer(port)
         self.port = 100
@@ -77,10 +77,10 @@
 
     def overload(self, priority: int = 0) -> None:
         """Let much more be asked for than can be done, for a while."""
-        for _ in range(round(defaults.LOAD_SECONDS / WORK)):
+        for _ in range(round(defaults.LOAD_WINDOW_SECONDS / WORK)):
             self.now += WORK
             for _ in range(3):
-                self.state.room.note_taken(priority, self.now)
+                self.state.capacity.record_admitted(priority, self.now)
         self.pass_time(0)
 
 
@@ -89,12 +89,12 @@
 
     def test_pace_is_that_of_answers_without_a_pause(self) -> None:
         """Pauses without work say nothing of it."""
-        self.assertAlmostEqual(self.state.room.pace, WORK)
+        self.assertAlmostEqual(self.state.capacity.response_interval, WORK)
         self.now += 10
         self.ask(50)
         self.now += WORK
         self.answer(50)
-        self.assertAlmostEqual(self.state.room.pace, WORK)
+        self.assertAlmostEqual(self.state.capacity.response_interval, WORK)
 
     def test_who_can_be_in_time_is_taken(self) -> None:
         """Eight answers of 20 ms fit into 200 ms, after the margin."""
@@ -150,11 +150,11 @@
 
     def test_burst_after_little_load_waits(self) -> None:
         """Late answers are better than none where room is to come."""
-        self.pass_time(defaults.LOAD_SECONDS)
+        self.pass_time(defaults.LOAD_WINDOW_SECONDS)
         taken = self.fill()
         patience = PATIENCE_MS / 1000 / WORK
         self.assertGreater(taken, patience)
-        self.assertLess(taken, patience * (defaults.SURE_FACTOR + 1))
+        self.assertLess(taken, patience * (defaults.LATE_EXCESS_FACTOR + 1))
 
     def test_idle_upstream_takes_who_is_late_already(self) -> None:
         """Nobody else would use its room."""
@@ -217,7 +217,7 @@
 
     def test_a_second_after_the_last_refusal_all_is_as_before(self) -> None:
         """The latest goes first, so that most are in time."""
-        self.pass_time(defaults.PRESSED_SECONDS + 0.01)
+        self.pass_time(defaults.OVERLOAD_SECONDS + 0.01)
         self.take(TimerFired(self.now))
         self.ask(self.port + 1, left_ms=1000)
         self.assertEqual(self.answer(self.first), [self.port + 1])
--- a/tests/packets/test_scheduling.py
+++ b/tests/packets/test_scheduling.py
@@ -216,11 +216,11 @@
     def test_opening_packets_tell_no_terms_of_a_flow_without(self) -> None:
         """A process younger than the flow hears a late copy of one."""
         key = FLOW._replace(port=STREAMING).key
-        self.state.flows[key].terms = None
+        self.state.flows[key].route_policy = None
         packet = make_packet(FLOW._replace(port=STREAMING), SYN)
         for kind in (EnvelopeKind.OPEN, EnvelopeKind.TRY):
             self.hear(kind, packet, priority=0, left_ms=7)
-        self.assertIsNone(self.state.flows[key].terms)
+        self.assertIsNone(self.state.flows[key].route_policy)
 
 
 class PacketOrderTests(SchedulingTestCase):
@@ -555,7 +555,7 @@
 
         Return what is passed on once those at work before are overdue.
         """
-        self.now += defaults.OVERDUE_SECONDS - 0.01
+        self.now += defaults.MIN_OVERDUE_SECONDS - 0.01
         for port in range(50, 50 + 3 * ROOM):
             self.ask(port, priority=1, wait=_PATIENCE)
         for _ in range(answers):
@@ -570,7 +570,7 @@
         """An upstream that hangs on some may serve the others."""
         self.speak(STREAMING, 2)
         self.speak(URGENT, 2)
-        self.now += defaults.OVERDUE_SECONDS - 0.01
+        self.now += defaults.MIN_OVERDUE_SECONDS - 0.01
         passed = self.serve(0, data=b'a')
         self.assertEqual(self.list_passed(passed), [(URGENT, 2)])
         self.state.answer_seconds = 0.01
@@ -654,8 +654,8 @@
             Stream(2, 0.7, 0.05, 0.4, 2.0, 20),
         )
         shares = []
-        for passed_over in (defaults.PASSED_OVER, 10**9):
-            with mock.patch.object(defaults, 'PASSED_OVER', passed_over):
+        for passed_over in (defaults.STARVED_INTERVAL, 10**9):
+            with mock.patch.object(defaults, 'STARVED_INTERVAL', passed_over):
                 model = QueueModel(streams, 1, scheduling=True)
                 model.run(30)
             shares.append(_find_share(model.list_delays(2), 2.0))
