--- a/experiments/directory_model.py
+++ b/experiments/directory_model.py
@@ -17,7 +17,7 @@
 from time import process_time
 from typing import Any, Final
 
-from keelgap.packets.envelopes import HEAD_LENGTH, Envelope, EnvelopeKind
+from keelgap.packets.envelopes import HEADER_LENGTH, Envelope, EnvelopeKind
 from keelgap_agent.packets import effects as agent_effects
 from keelgap_agent.packets import events as agent_events
 from keelgap_agent.packets.reducer import reduce as reduce_agent
@@ -202,7 +202,7 @@
     return {
         'upstreams': count,
         'registrations_a_flow': round(registered / FLOWS, 2),
-        'octets_of_a_registration': HEAD_LENGTH + 31,
+        'octets_of_a_registration': HEADER_LENGTH + 31,
         'octets_of_an_entry': _measure_entry(),
         'living': living,
         'dead': dead,
--- a/experiments/outage/world.py
+++ b/experiments/outage/world.py
@@ -17,7 +17,7 @@
     PacketRoute,
     PacketUpstream,
     RouteSet,
-    Share,
+    TrafficShare,
 )
 from keelgap.packets.envelopes import Envelope
 from keelgap_agent.packets import effects as agent_effects
@@ -71,7 +71,7 @@
                 kind.name,
                 '198.18.0.1',
                 443 + index,
-                (Share(_SERVICE, 1),),
+                (TrafficShare(_SERVICE, 1),),
                 kind.priority,
                 kind.aim,
                 kind.timeout,
--- a/experiments/packet_slopes.py
+++ b/experiments/packet_slopes.py
@@ -22,7 +22,7 @@
     PacketRoute,
     PacketUpstream,
     RouteSet,
-    Share,
+    TrafficShare,
 )
 from keelgap.packets.envelopes import LoadReport
 from keelgap.packets.features import Features
@@ -79,7 +79,9 @@
 def make_route(number: int) -> PacketRoute:
     """Return the route of one service."""
     host = f'198.18.{number >> 8}.{number & 255}'
-    return PacketRoute(f'r{number}', host, 443, (Share(f's{number}', 1),))
+    return PacketRoute(
+        f'r{number}', host, 443, (TrafficShare(f's{number}', 1),)
+    )
 
 
 def make_packet(number: int, route: PacketRoute, flags: int) -> bytes:
--- a/experiments/placing_model.py
+++ b/experiments/placing_model.py
@@ -21,7 +21,7 @@
     PacketRoute,
     PacketUpstream,
     RouteSet,
-    Share,
+    TrafficShare,
 )
 from keelgap.packets.envelopes import (
     Envelope,
@@ -45,8 +45,8 @@
 
 FORMAT = make_packet_format()
 SYN, ACK, FIN = 2, 128, 4
-BRIEF = PacketRoute('r-brief', '198.18.0.1', 443, (Share('board', 1),))
-LONG = PacketRoute('r-long', '198.18.0.1', 444, (Share('board', 1),))
+BRIEF = PacketRoute('r-brief', '198.18.0.1', 443, (TrafficShare('board', 1),))
+LONG = PacketRoute('r-long', '198.18.0.1', 444, (TrafficShare('board', 1),))
 OCTET = 255
 REPORT_SECONDS = 0.05
 IDLE_SECONDS = 0.25
@@ -80,7 +80,7 @@
     #: How far the waves of the zones are apart, in periods.
     phase: float = 0.33
     seconds: float = 24.0
-    aim_seconds: float = 0.4
+    target_seconds: float = 0.4
     #: Whether agents tell the work of a request.
     tells_pace: bool = True
 
@@ -222,7 +222,7 @@
     def _end(self, upstream: Upstream, request: Request) -> None:
         upstream.running -= 1
         taken = self.now - request.came
-        self.late[request.zone] += taken > self.pattern.aim_seconds
+        self.late[request.zone] += taken > self.pattern.target_seconds
         self.taken.append(taken)
         upstream.pace.record(taken, request.before, self.pattern.slots)
         weight = ANSWER_TIME_WEIGHT if upstream.answer_seconds else 1
--- a/experiments/readers_model.py
+++ b/experiments/readers_model.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from keelgap.catalog import defaults as catalog_defaults
-from keelgap.catalog.readers import ReaderClaim, Readers
+from keelgap.catalog.readers import ReaderClaim, ReaderElection
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.gossip import (
     Gossip,
@@ -38,7 +38,7 @@
     def __init__(self, host: str, seeds: list[str]) -> None:
         """Start with the seeds only."""
         self.peers = Peers(host, seeds)
-        self.readers = Readers(host)
+        self.readers = ReaderElection(host)
         self.revision = 1
         self.octets = 0
 
@@ -98,11 +98,11 @@
     def hear(self, node: Node, sender: str, gossip: Gossip) -> None:
         """Let one take a message, and fetch what it lacks."""
         for claim in gossip.claims:
-            node.readers.note_claim(claim, self.now)
+            node.readers.record_claim(claim, self.now)
         if gossip.reads:
-            node.readers.note_claim(ReaderClaim(sender, 0), self.now)
+            node.readers.record_claim(ReaderClaim(sender, 0), self.now)
         else:
-            node.readers.note_refusal(sender, self.now)
+            node.readers.record_withdrawal(sender, self.now)
         node.peers.take(gossip.changes, self.now)
         known = node.peers.note(
             sender, gossip.incarnation, gossip.peers, self.now
@@ -177,7 +177,7 @@
     random = Random(parser.parse_args().seed)
     for count in SIZES:
         row = measure(count, random)
-        report = {'readers': catalog_defaults.READERS, **row}
+        report = {'readers': catalog_defaults.READER_COUNT, **row}
         print(json.dumps(report), flush=True)
 
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/__main__.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/__main__.py
@@ -9,7 +9,7 @@
 from contextlib import ExitStack
 
 from keelgap.addresses import Address
-from keelgap.packets.process import MakeServer, run_process
+from keelgap.packets.process import ServerFactory, run_process
 from keelgap.packets.sockets import PacketSockets, open_sockets
 from keelgap_agent.packets.conf import AgentPacketSettings
 
@@ -25,7 +25,7 @@
     return open_sockets('listen.upstream', listen.upstream, peers, stack)
 
 
-def _load_server() -> MakeServer[AgentPacketSettings, PacketSockets]:
+def _load_server() -> ServerFactory[AgentPacketSettings, PacketSockets]:
     """Import the server, deferred until its sockets are open."""
     from keelgap_agent.packets.server import (  # noqa: PLC0415, WPS433
         PacketAgent,
--- a/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
@@ -21,7 +21,7 @@
 
 from keelgap.packets.envelopes import OPENING_KINDS, EnvelopeKind
 from keelgap.packets.formats import ENDS_FLOW
-from keelgap.packets.openings import OPENING_SECONDS
+from keelgap.packets.openings import OPEN_TIMEOUT_SECONDS
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.capacity import (
     NO_TIME,
@@ -183,9 +183,10 @@
         arrived_at=now,
         priority=event.envelope.priority,
         deadline=now + left,
-        earliest_departure=now + wait.assured_ms / _MILLISECONDS,
-        latest_departure=now + wait.patience_ms / _MILLISECONDS,
-        is_from_outage=asked_at < state.traffic_resumed_at + OPENING_SECONDS,
+        earliest_departure=now + wait.min_remaining_ms / _MILLISECONDS,
+        latest_departure=now + wait.max_remaining_ms / _MILLISECONDS,
+        is_from_outage=asked_at
+        < state.traffic_resumed_at + OPEN_TIMEOUT_SECONDS,
         packets={},
     )
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
@@ -7,14 +7,14 @@
 """
 
 from keelgap.packets.directory_messages import (
-    Lookup,
+    LookupResponse,
     pack_coverage,
-    pack_lookup,
-    unpack_question,
+    pack_lookup_response,
+    unpack_lookup_request,
     unpack_registration,
 )
 from keelgap.packets.envelopes import EnvelopeKind
-from keelgap.runtime.lines import MAX_NAMED
+from keelgap.runtime.lines import MAX_LISTED
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.effects import AgentEffect, Decided
 from keelgap_agent.packets.events import EnvelopeArrived
@@ -55,12 +55,12 @@
     that it knows them, and is notified of changes for some time: it may wait
     for them with its verdicts.
     """
-    request = unpack_question(event.envelope.content)
+    request = unpack_lookup_request(event.envelope.content)
     now = event.now
     updated = _update_coverage(state, now)
     directory = state.directory
     rows = tuple((key, _find_owners(state, key, now)) for key in request.keys)
-    content = pack_lookup(Lookup(directory.digest, rows))
+    content = pack_lookup_response(LookupResponse(directory.digest, rows))
     found = state.send(event.sender, EnvelopeKind.FOUND, content)
     directory.watchers[event.sender] = now + defaults.WATCHER_TIMEOUT_SECONDS
     if request.digest == directory.digest:
@@ -110,9 +110,9 @@
         return ()
     fields = {
         'added': len(change.added),
-        'added_hosts': sorted(change.added)[:MAX_NAMED],
+        'added_hosts': sorted(change.added)[:MAX_LISTED],
         'removed': len(change.removed),
-        'removed_hosts': sorted(change.removed)[:MAX_NAMED],
+        'removed_hosts': sorted(change.removed)[:MAX_LISTED],
         'covered': len(state.directory.covered),
         'members': len(state.directory.agents),
     }
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
@@ -8,7 +8,7 @@
 from keelgap.packets.directory_messages import (
     Registration,
 )
-from keelgap.packets.generations import Generations
+from keelgap.packets.generations import GenerationalCache
 from keelgap_agent.packets import defaults
 
 __all__ = ('CoverageChange', 'DirectoryNode', 'RegisteredAgent')
@@ -119,7 +119,7 @@
         """Start empty."""
         #: Hosts whose agents may own a flow; two if an opening packet reached
         #: two of them.
-        self.owners: Generations[tuple[str, ...]] = Generations(
+        self.owners: GenerationalCache[tuple[str, ...]] = GenerationalCache(
             defaults.REGISTRATION_GENERATION_SECONDS,
             defaults.MAX_REGISTERED_FLOWS,
             now,
--- a/packages/keelgap-agent/src/keelgap_agent/packets/notices.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/notices.py
@@ -43,7 +43,7 @@
     if notice.revision == state.zone_revision:
         # Not from a balancer whose catalog is behind.
         warm_at = event.now + notice.warm_up_ms / _MILLISECONDS
-        state.warm_up_limiter.configure(notice.cold_per_second, warm_at)
+        state.warm_up_limiter.configure(notice.warm_up_flow_rate, warm_at)
     released = _release_openings(state, event.now)
     is_current = notice.revision >= state.registrar.directory.revision
     if not notice.shards or not is_current:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/defaults.py
@@ -8,7 +8,7 @@
     'MAX_SCORE',
     'EJECTION_SCORE',
     'ERROR_WEIGHT',
-    'FORCED_HOP',
+    'FORCED_ACCEPT_HOP',
     'ABANDONED_SECONDS',
     'SUCCESS_WEIGHT',
     'STARTUP_GRACE_SECONDS',
@@ -141,7 +141,7 @@
 
 #: An opening packet that so many agents have returned is accepted: if most
 #: upstreams fail, none of them is left out.
-FORCED_HOP: Final = trials.FORCED_HOP
+FORCED_ACCEPT_HOP: Final = trials.FORCED_ACCEPT_HOP
 
 #: Upper bound of abandoned flows that are remembered, at 300 octets each, and
 #: the seconds for which they are.  No request lasts longer, so callers repeat
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/giving_up.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/giving_up.py
@@ -109,7 +109,7 @@
     datagram = envelope.content
     is_opening = envelope.kind in OPENING_KINDS
     # After a reset the caller may open a new flow from the same port.
-    is_new = is_opening and not state.format.copies(datagram)
+    is_new = is_opening and not state.format.retransmissions(datagram)
     if is_new or not state.outcomes.abandoned_flows[key].is_reset:
         miss = state.return_to_balancer(event.sender, envelope)
         return miss, Decided('miss_given_up')
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/judging.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/judging.py
@@ -218,7 +218,8 @@
     late = [
         key
         for key, event in outcomes.unanswered_openings.items()
-        if event.now <= limit and event.envelope.hop < defaults.FORCED_HOP
+        if event.now <= limit
+        and event.envelope.hop < defaults.FORCED_ACCEPT_HOP
     ]
     effects: list[AgentEffect] = []
     for key in late:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/refusing.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/refusing.py
@@ -27,7 +27,7 @@
     if ejection.admit(key, event.now, is_trial=is_trial):
         outcomes.has_unreported_change = True
         return None
-    if envelope.hop >= defaults.FORCED_HOP:
+    if envelope.hop >= defaults.FORCED_ACCEPT_HOP:
         ejection.forced.add(key)
         return None
     outcomes.stale_balancers.add(event.sender)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
@@ -125,7 +125,7 @@
     """
     envelope = event.envelope
     datagram = envelope.content
-    if not state.format.is_whole(datagram):
+    if not state.format.has_valid_length(datagram):
         return (Decided(MalformedEnvelope.code),)
     if envelope.service_tag != state.service_tag:
         return (
--- a/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
@@ -17,7 +17,7 @@
 )
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap.packets.notices import UpstreamNotice
-from keelgap.runtime.lines import MAX_NAMED
+from keelgap.runtime.lines import MAX_LISTED
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.effects import AgentEffect, Decided, SendToPeer
 from keelgap_agent.packets.events import EnvelopeArrived
@@ -57,7 +57,7 @@
         return ''
     registrar.upstream_tag = notice.upstream_tag
     if registrar.is_complete or not (
-        registrar.predates_upstream and notice.is_young
+        registrar.predates_upstream and notice.is_recent_start
     ):
         return ''
     registrar.is_complete = True
@@ -105,7 +105,7 @@
     fields = {
         'revision': directory.revision,
         'nodes': len(nodes),
-        'added_hosts': added[:MAX_NAMED],
+        'added_hosts': added[:MAX_LISTED],
         'is_first': is_first,
         'age': round(now - registrar.started_at, 3),
         'flows': len(state.flows),
--- a/packages/keelgap-agent/src/keelgap_agent/packets/room/estimates.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/room/estimates.py
@@ -1,6 +1,6 @@
 """Estimates of an upstream's throughput, and of the demand for it."""
 
-from keelgap.packets.decay import DecayingCount
+from keelgap.packets.decay import DecayingCounter
 from keelgap_agent.packets.capacity import defaults
 
 __all__ = ('CapacityEstimate',)
@@ -18,9 +18,9 @@
         self.saturated_since: float | None = None
         #: New flows by priority (one octet): those admitted count fully, those
         #: refused here count in part.
-        self.demand: dict[int, DecayingCount] = {}
+        self.demand: dict[int, DecayingCounter] = {}
         #: Recently admitted new flows by priority.
-        self.admitted: dict[int, DecayingCount] = {}
+        self.admitted: dict[int, DecayingCounter] = {}
         #: When a flow was last refused because it would miss its deadline.
         self.last_refusal_at = float('-inf')
         #: When a late request last went before others.
@@ -87,13 +87,13 @@
 
 
 def _get_count(
-    counts: dict[int, DecayingCount],
+    counts: dict[int, DecayingCounter],
     priority: int,
     span: float,
     now: float,
-) -> DecayingCount:
+) -> DecayingCounter:
     count = counts.get(priority)
     if count is None:
-        count = DecayingCount(span, now)
+        count = DecayingCounter(span, now)
         counts[priority] = count
     return count
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/terms.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/terms.py
@@ -33,7 +33,7 @@
     return RoutePolicy(
         envelope.priority,
         (envelope.left_ms + wait.age_ms) / _MILLISECONDS,
-        (wait.patience_ms + wait.age_ms) / _MILLISECONDS,
+        (wait.max_remaining_ms + wait.age_ms) / _MILLISECONDS,
     )
 
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/server.py
@@ -15,7 +15,7 @@
     unpack_envelope,
 )
 from keelgap.packets.exceptions import MalformedEnvelope
-from keelgap.packets.features import choose_features
+from keelgap.packets.features import resolve_features
 from keelgap.packets.process import (
     DecisionLog,
     PacketProcess,
@@ -74,7 +74,7 @@
             self.loop.clock(),
             settings.instance.address,
             settings.warm_up,
-            choose_features(
+            resolve_features(
                 settings.features,
                 self.adapter.read_terms(settings.features.terms),
             ),
@@ -143,7 +143,7 @@
         return ('upstream.service', 'upstream.address')
 
     def _read_upstream(self, datagram: bytes, sender: tuple[str, int]) -> None:
-        if not self.format.is_whole(datagram):
+        if not self.format.has_valid_length(datagram):
             self.process.counters.count('drop_malformed_packet')
             return
         self._dispatch(UpstreamPacket(self.loop.clock(), datagram))
--- a/packages/keelgap-agent/src/keelgap_agent/packets/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/state.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from keelgap.catalog.defaults import ENTRY_RETURN_SECONDS
+from keelgap.catalog.defaults import ENTRY_RECOVERY_SECONDS
 from keelgap.packets.envelopes import (
     Envelope,
     EnvelopeKind,
@@ -116,7 +116,7 @@
     def make_stamp(self, now: float) -> Stamp:
         """Return what balancers recently reported about the store."""
         since = now - self.store_unreachable_at
-        return Stamp(self.latest_change, since < ENTRY_RETURN_SECONDS)
+        return Stamp(self.latest_change, since < ENTRY_RECOVERY_SECONDS)
 
     def make_report(self) -> LoadReport:
         """Return the current load report for balancers."""
@@ -127,7 +127,7 @@
             closed=self.stopping_since is not None or self.is_evacuated,
             is_ejected=self.outcomes.ejection.is_ejected,
             wants_trial=self.outcomes.ejection.wants_trial,
-            waiting=len(self.queued),
+            queued=len(self.queued),
             work_ms=self.service_time.milliseconds,
         )
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/untold.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/untold.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from keelgap.packets.envelopes import CallerWait, EnvelopeKind
-from keelgap.packets.openings import OPENING_SECONDS
+from keelgap.packets.openings import OPEN_TIMEOUT_SECONDS
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.admission import admit_opening
 from keelgap_agent.packets.effects import AgentEffect, Decided
@@ -59,7 +59,7 @@
     expired = [
         key
         for key, event in pending_openings.items()
-        if now - event.now > OPENING_SECONDS
+        if now - event.now > OPEN_TIMEOUT_SECONDS
     ]
     for key in expired:
         pending_openings.pop(key)
@@ -95,8 +95,8 @@
     waited = round((now - event.now) * _MILLISECONDS)
     wait = CallerWait(
         envelope.wait.age_ms + waited,
-        max(envelope.wait.patience_ms - waited, 0),
-        max(envelope.wait.assured_ms - waited, 0),
+        max(envelope.wait.max_remaining_ms - waited, 0),
+        max(envelope.wait.min_remaining_ms - waited, 0),
     )
     shifted = envelope._replace(left_ms=envelope.left_ms - waited, wait=wait)
     return event._replace(now=now, envelope=shifted)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/__main__.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/__main__.py
@@ -9,7 +9,7 @@
 from contextlib import ExitStack
 
 from keelgap.addresses import Address
-from keelgap.packets.process import MakeServer, run_process
+from keelgap.packets.process import ServerFactory, run_process
 from keelgap.packets.sockets import PacketSockets, open_sockets
 from keelgap_balancer.packets.conf import BalancerPacketSettings
 
@@ -25,7 +25,7 @@
     return open_sockets('listen.callers', listen.callers, peers, stack)
 
 
-def _load_server() -> MakeServer[BalancerPacketSettings, PacketSockets]:
+def _load_server() -> ServerFactory[BalancerPacketSettings, PacketSockets]:
     """Import the server late, when its sockets are already open."""
     from keelgap_balancer.packets.server import (  # noqa: PLC0415, WPS433
         PacketBalancer,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
@@ -78,7 +78,9 @@
     """
     service = choose_service(route, key)
     views = state.by_service.get(service, ())
-    remaining_seconds = max(route.aim_seconds - state.ages.get_age(key, now), 0)
+    remaining_seconds = max(
+        route.target_seconds - state.ages.get_age(key, now), 0
+    )
     return {
         view.host for view in views if _is_full(view, remaining_seconds, now)
     }
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/ages.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/ages.py
@@ -12,7 +12,7 @@
 
 from keelgap.catalog.models import PacketRoute
 from keelgap.packets.envelopes import CallerWait
-from keelgap.packets.openings import OPENING_SECONDS, estimate_wait
+from keelgap.packets.openings import OPEN_TIMEOUT_SECONDS, estimate_open_wait
 from keelgap.packets.refusals import RefusedCaller
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.shares import CallerShares
@@ -47,7 +47,7 @@
     on_request = route.timeout_seconds - waited.on_request
     assured_seconds = on_request - waited.uncertainty
     if not is_first_try and waited.on_request == waited.flow_seconds:
-        assured_seconds -= OPENING_SECONDS + defaults.RETRY_PAUSE_SECONDS
+        assured_seconds -= OPEN_TIMEOUT_SECONDS + defaults.RETRY_PAUSE_SECONDS
     return CallerWait(
         round(waited.on_request * _MILLISECONDS),
         round(on_request * _MILLISECONDS),
@@ -84,11 +84,13 @@
         self.untold: list[RefusedCaller] = []
         self.told_at = float('-inf')
 
-    def note_opening(self, key: bytes, copies: int, now: float) -> WaitEstimate:
+    def note_opening(
+        self, key: bytes, retransmissions: int, now: float
+    ) -> WaitEstimate:
         """Record an opening packet; return how long its caller has waited."""
         opening = self.openings.get(key)
         if opening is None:
-            started_at = now - estimate_wait(copies)
+            started_at = now - estimate_open_wait(retransmissions)
             opening = self._continue_given_up(key, started_at)
             if len(self.openings) < defaults.MAX_OPENINGS:
                 self._add(key, opening)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/asking.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/asking.py
@@ -3,7 +3,7 @@
 from xxhash import xxh3_64_intdigest
 
 from keelgap.catalog.models import PacketRoute
-from keelgap.packets.directory import COPIES
+from keelgap.packets.directory import REPLICAS
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import Decided, PacketEffect
@@ -37,7 +37,7 @@
             return ()
         return _query_agents(state, search, key, undenied, now)
     # One node may have missed a registration, or not received it yet.
-    unconfirmed = list_undenied(state, search, route, nodes, COPIES)
+    unconfirmed = list_undenied(state, search, route, nodes, REPLICAS)
     if not unconfirmed:
         return None
     is_early = _awaits_directory(search, unconfirmed, nodes, now)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
@@ -29,7 +29,7 @@
     'FAR_ASK_SECONDS',
     'FAR_TRIAL_SECONDS',
     'FLOW_GENERATION_SECONDS',
-    'FORCED_HOP',
+    'FORCED_ACCEPT_HOP',
     'FORMER_ROUTE_SECONDS',
     'GIVE_UP_SECONDS',
     'GONE_SECONDS',
@@ -110,7 +110,7 @@
 TRAVEL_SECONDS: Final = 0.05
 
 #: A caller has abandoned an opening that began this long ago.
-GIVE_UP_SECONDS: Final = openings.OPENING_SECONDS - TRAVEL_SECONDS
+GIVE_UP_SECONDS: Final = openings.OPEN_TIMEOUT_SECONDS - TRAVEL_SECONDS
 
 #: How long after that a new flow of the caller is taken for its retry.
 RETRY_SECONDS: Final = 1.0
@@ -179,7 +179,7 @@
 #: Period after the first catalog in which a caller that is new to this process
 #: may have tried before.  Its first attempt ends within one opening timeout,
 #: and its second arrives within another.
-SETTLING_SECONDS: Final = 2 * openings.OPENING_SECONDS
+SETTLING_SECONDS: Final = 2 * openings.OPEN_TIMEOUT_SECONDS
 
 #: A search without a result expires after this, and may start anew.
 SEARCH_SECONDS: Final = 1.0
@@ -226,7 +226,7 @@
 MAX_PARKED: Final = 5000
 
 #: How long an upstream whose entry is missing is still asked for its flows.
-GONE_SECONDS: Final = catalog_defaults.ENTRY_RETURN_SECONDS
+GONE_SECONDS: Final = catalog_defaults.ENTRY_RECOVERY_SECONDS
 
 #: How long an agent is asked for flows of a service for which the catalog does
 #: not list its host any longer, or not yet.  Another balancer may offer it
@@ -278,7 +278,7 @@
 PROBES_AT_ONCE: Final = 1
 
 #: Number of receivers of each message from a balancer that reads the store.
-READER_GOSSIP_PEERS: Final = catalog_defaults.MAX_TOLD_BY_READER
+READER_GOSSIP_PEERS: Final = catalog_defaults.READER_FANOUT
 
 #: In a small fleet a balancer that was silent for this long is removed.
 PEER_SECONDS: Final = 10.0
@@ -343,7 +343,7 @@
 #: many times before.  If no other agent is left, it is offered the flow with
 #: this count at once; otherwise callers of a service with few upstreams would
 #: be refused by all.
-FORCED_HOP: Final = trials.FORCED_HOP
+FORCED_ACCEPT_HOP: Final = trials.FORCED_ACCEPT_HOP
 
 #: Pause between trial flows from this balancer to one ejected upstream.  Its
 #: agent accepts few at the same time, and each flow that it returns costs the
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/directories.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/directories.py
@@ -13,12 +13,12 @@
     make_directory,
 )
 from keelgap.packets.directory_messages import (
-    MAX_KEYS,
-    Lookup,
-    Question,
-    pack_question,
+    MAX_KEYS_PER_MESSAGE,
+    LookupRequest,
+    LookupResponse,
+    pack_lookup_request,
     unpack_coverage,
-    unpack_lookup,
+    unpack_lookup_response,
 )
 from keelgap.packets.envelopes import REPORT_FORMAT, EnvelopeKind
 from keelgap_balancer.packets import defaults
@@ -102,12 +102,12 @@
 def take_answer(
     state: PacketState,
     event: EnvelopeArrived,
-) -> tuple[Lookup, Effects]:
+) -> tuple[LookupResponse, Effects]:
     """Return a node's answer and the next lookup to send to the node.
 
     Raises MalformedEnvelope.
     """
-    lookup = unpack_lookup(event.envelope.content)
+    lookup = unpack_lookup_response(event.envelope.content)
     node = state.nodes.setdefault(event.sender, NodeView())
     node.asked_at = None
     node.is_asked_again = False
@@ -163,7 +163,7 @@
     now: float,
 ) -> Effects:
     """Look up the flows that are queued for a directory node."""
-    keys = tuple(islice(node.waiting, MAX_KEYS))
+    keys = tuple(islice(node.waiting, MAX_KEYS_PER_MESSAGE))
     view = state.by_host.get(host)
     if view is None or not keys:
         return ()
@@ -171,5 +171,5 @@
         node.waiting.pop(key)
     node.asked_at = now
     view.expect_answer(now)
-    question = Question(node.digest, keys)
-    return (view.send(EnvelopeKind.LOOKUP, pack_question(question)),)
+    question = LookupRequest(node.digest, keys)
+    return (view.send(EnvelopeKind.LOOKUP, pack_lookup_request(question)),)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/forwards.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/forwards.py
@@ -32,5 +32,5 @@
         datagram,
         hop,
         route.priority,
-        max(round(route.aim_seconds * _MILLISECONDS), 1),
+        max(round(route.target_seconds * _MILLISECONDS), 1),
     )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/giving_up.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/giving_up.py
@@ -1,7 +1,7 @@
 """Expiry of searches that find no result in time."""
 
-from keelgap.packets.directory import COPIES
-from keelgap.runtime.lines import MAX_NAMED
+from keelgap.packets.directory import REPLICAS
+from keelgap.runtime.lines import MAX_LISTED
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import Decided, PacketEffect
 from keelgap_balancer.packets.searches import Search
@@ -48,12 +48,12 @@
         return ()
     nodes = list_nodes(state, route, key)
     undenied = list_undenied(state, search, route, nodes, 1)
-    unsure = list_undenied(state, search, route, nodes, COPIES)
+    unsure = list_undenied(state, search, route, nodes, REPLICAS)
     fields = {
         'flow': state.format.describe_key(key),
         'asked': search.questions,
         'undenied': len(undenied),
-        'hosts': [view.host for view in undenied[:MAX_NAMED]],
+        'hosts': [view.host for view in undenied[:MAX_LISTED]],
         'unsure': len(unsure),
         'nodes': nodes,
         'denied_by': tuple(search.denied),
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
@@ -5,7 +5,7 @@
 
 from keelgap.addresses import Address
 from keelgap.catalog.driver import CatalogDriver
-from keelgap.catalog.readers import ReaderClaim, Readers
+from keelgap.catalog.readers import ReaderClaim, ReaderElection
 from keelgap.packets.envelopes import (
     Envelope,
     EnvelopeKind,
@@ -13,7 +13,7 @@
     pack_envelope,
 )
 from keelgap.packets.process import PacketProcess
-from keelgap.runtime.lines import MAX_NAMED
+from keelgap.runtime.lines import MAX_LISTED
 from keelgap.sockets import send_datagram
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import TellBalancers
@@ -45,7 +45,7 @@
         self.process = process
         self.peers = peers
         self.places = places
-        self.readers = Readers(peers.own)
+        self.readers = ReaderElection(peers.own)
         self.catalog = catalog
         self.make_stamp = make_stamp
         self.control_port = control_port
@@ -109,7 +109,7 @@
             self._send_to_peer(host)
         self.found.update(found)
         peer = Address(host, self.control_port)
-        self.catalog.note_peer(peer, gossip.revision)
+        self.catalog.record_peer_revision(peer, gossip.revision)
 
     @property
     def _is_active_reader(self) -> bool:
@@ -126,7 +126,7 @@
     def _update_reader_role(self, now: float) -> None:
         was_reader = self.readers.is_reader
         reads = self.readers.decide(now, self.peers.heard)
-        self.catalog.decide_reading(reads, len(self.peers.heard) + 1)
+        self.catalog.set_reader_role(reads, len(self.peers.heard) + 1)
         if reads != was_reader:
             self.process.lines.tell(
                 'reading_store' if reads else 'following_readers',
@@ -136,11 +136,11 @@
 
     def _record_claims(self, host: str, gossip: Gossip, now: float) -> None:
         for claim in gossip.claims:
-            self.readers.note_claim(claim, now)
+            self.readers.record_claim(claim, now)
         if gossip.reads:
-            self.readers.note_claim(ReaderClaim(host, 0), now)
+            self.readers.record_claim(ReaderClaim(host, 0), now)
         else:
-            self.readers.note_refusal(host, now)
+            self.readers.record_withdrawal(host, now)
 
     def _log_changes(self, lost: tuple[str, ...]) -> None:
         """Log the balancers found and lost, on one line."""
@@ -150,8 +150,8 @@
                 found=len(self.found),
                 lost=len(lost),
                 known=len(self.peers.heard),
-                found_hosts=sorted(self.found)[:MAX_NAMED],
-                lost_hosts=lost[:MAX_NAMED],
+                found_hosts=sorted(self.found)[:MAX_LISTED],
+                lost_hosts=lost[:MAX_LISTED],
             )
             self.found.clear()
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/inheriting.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/inheriting.py
@@ -10,14 +10,14 @@
 from keelgap.packets.envelopes import Envelope, EnvelopeKind
 from keelgap.packets.exceptions import MalformedEnvelope
 from keelgap.packets.served import (
-    MAX_SERVED,
+    MAX_SERVED_HOSTS,
     ServedHost,
-    ServedQuestion,
+    ServedHostsRequest,
     digest_served,
-    pack_question,
     pack_served,
-    unpack_question,
+    pack_served_request,
     unpack_served,
+    unpack_served_request,
 )
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import (
@@ -49,12 +49,14 @@
     if is_over or now - asked_at < defaults.INHERIT_PAUSE_SECONDS:
         return ()
     state.holders.asked[host] = now
-    question = ServedQuestion(
+    question = ServedHostsRequest(
         state.holders.first_revision,
         digest_served(_list_served(state)),
     )
     return (
-        _make_message(host, EnvelopeKind.SERVED_ASKED, pack_question(question)),
+        _make_message(
+            host, EnvelopeKind.SERVED_ASKED, pack_served_request(question)
+        ),
     )
 
 
@@ -83,7 +85,7 @@
     agents first; in a large fleet nothing else fits.
     """
     try:
-        question = unpack_question(event.envelope.content)
+        question = unpack_served_request(event.envelope.content)
     except MalformedEnvelope as error:
         return (Decided(error.code),)
     answered = state.holders.told
@@ -101,7 +103,7 @@
     if len(answered) >= defaults.MAX_INHERITING:
         answered.clear()
     answered[event.sender] = question.first_revision
-    content = pack_served((*unlisted, *served)[:MAX_SERVED])
+    content = pack_served((*unlisted, *served)[:MAX_SERVED_HOSTS])
     return (_make_message(event.sender, EnvelopeKind.SERVED_TOLD, content),)
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/membership.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/membership.py
@@ -5,7 +5,7 @@
     PacketUpstream,
     UpstreamIdentity,
 )
-from keelgap.runtime.lines import MAX_NAMED
+from keelgap.runtime.lines import MAX_LISTED
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.directories import change_directories
 from keelgap_balancer.packets.effects import Decided, PacketEffect
@@ -197,11 +197,11 @@
     After an outage all upstreams change at once.  A line for each of them
     would make the log drop lines about flows.
     """
-    if len(upstream_ids) > MAX_NAMED:
+    if len(upstream_ids) > MAX_LISTED:
         fields = {
             'change': change,
             'count': len(upstream_ids),
-            'upstreams': upstream_ids[:MAX_NAMED],
+            'upstreams': upstream_ids[:MAX_LISTED],
             'revision': catalog.revision,
         }
         return (Decided('upstreams_changed', fields),)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/notices.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/notices.py
@@ -27,8 +27,8 @@
     identified all the same, since many start together with their agents.
     """
     upstream = view.upstream
-    is_young = now < view.young_until
-    is_identified = is_young or not state.is_behind
+    is_recent_start = now < view.young_until
+    is_identified = is_recent_start or not state.is_behind
     directory = state.directories.get(upstream.service, NO_DIRECTORY)
     services = state.catalog.routes.services
     limits = services.get(upstream.service, _NO_LIMITS)
@@ -39,10 +39,10 @@
             shards=directory.shards,
             upstream_tag=view.seed if is_identified else 0,
             upstream_revision=upstream.revision if is_identified else 0,
-            is_young=is_young,
+            is_recent_start=is_recent_start,
             is_evacuated=state.is_evacuated(view),
             warm_up_ms=round(warm_up * _MILLISECONDS),
-            cold_per_second=limits.cold_per_second,
+            warm_up_flow_rate=limits.warm_up_flow_rate,
         ),
     )
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/openings.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/openings.py
@@ -104,7 +104,7 @@
     A copy of the first packet may arrive after another balancer offered the
     flow, while the answer is on its way.
     """
-    is_copy = state.format.copies(opening.datagram) > 0
+    is_copy = state.format.retransmissions(opening.datagram) > 0
     return not is_copy or state.ages.was_refused(opening.key)
 
 
@@ -114,8 +114,8 @@
     excess: Excess,
 ) -> Effects:
     """Reset a new flow in favour of callers that received a smaller share."""
-    copies = state.format.copies(opening.datagram)
-    state.ages.note_opening(opening.key, copies, opening.now)
+    retransmissions = state.format.retransmissions(opening.datagram)
+    state.ages.note_opening(opening.key, retransmissions, opening.now)
     fields = {
         'flow': state.format.describe_key(opening.key),
         'route': opening.route.name,
@@ -152,7 +152,7 @@
         if agent in state.ejections.out:
             # No better upstream is available.  FORCED_ACCEPT_HOP tells this to
             # the agent, which would decline the flow otherwise.
-            hop = max(opening.hop, defaults.FORCED_HOP)
+            hop = max(opening.hop, defaults.FORCED_ACCEPT_HOP)
             opening = opening._replace(hop=hop)
     state.owners.put(key, agent)
     agent.picks += 1
@@ -234,10 +234,10 @@
 ) -> Effects:
     now = opening.now
     agent.expect_answer(now)
-    copies = state.format.copies(opening.datagram)
+    retransmissions = state.format.retransmissions(opening.datagram)
     route = opening.route
-    waited = state.ages.note_opening(opening.key, copies, now)
-    remaining_seconds = route.aim_seconds - waited.on_request
+    waited = state.ages.note_opening(opening.key, retransmissions, now)
+    remaining_seconds = route.target_seconds - waited.on_request
     wait = make_wait(route, waited, is_first_try=not state.is_settling(now))
     offer = agent.send(
         choose_kind(state, agent, route),
@@ -258,7 +258,10 @@
     """Offer a flow to another agent after one declined it."""
     search = state.searches.setdefault(opening.key, Search(opening.now))
     search.gave_back.add(view.host)
-    if opening.hop <= defaults.FORCED_HOP and view in state.ejections.out:
+    if (
+        opening.hop <= defaults.FORCED_ACCEPT_HOP
+        and view in state.ejections.out
+    ):
         search.ejected.add(view.host)
     search.lacks_time += bool(opening.room_ms)
     if state.features.admission and opening.room_ms:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/parking.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/parking.py
@@ -26,7 +26,9 @@
     state.parked[key] = datagram
     if _is_opening(state, datagram):
         # The age of the opening counts from now, not from when it is routed.
-        state.ages.note_opening(key, state.format.copies(datagram), now)
+        state.ages.note_opening(
+            key, state.format.retransmissions(datagram), now
+        )
     return (Decided('parked'),)
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
@@ -239,7 +239,7 @@
 ) -> Effects:
     """Offer a returned opening packet elsewhere, or continue a search."""
     datagram = event.envelope.content
-    if not state.format.is_whole(datagram):
+    if not state.format.has_valid_length(datagram):
         return (Decided(MalformedEnvelope.code),)
     key = state.format.caller_key(datagram)
     route = state.find_route(datagram)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/refusals.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/refusals.py
@@ -4,7 +4,7 @@
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap.packets.exceptions import MalformedEnvelope
 from keelgap.packets.refusals import (
-    MAX_REFUSED,
+    MAX_REFUSED_CALLERS,
     pack_refused,
     unpack_refused,
 )
@@ -44,8 +44,8 @@
     if not ages.untold or is_too_soon:
         return ()
     ages.told_at = now
-    batch = ages.untold[:MAX_REFUSED]
-    ages.untold = ages.untold[MAX_REFUSED : 2 * MAX_REFUSED]
+    batch = ages.untold[:MAX_REFUSED_CALLERS]
+    ages.untold = ages.untold[MAX_REFUSED_CALLERS : 2 * MAX_REFUSED_CALLERS]
     return (TellBalancers(EnvelopeKind.REFUSED, pack_refused(batch)),)
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
@@ -16,7 +16,7 @@
     unpack_envelope,
 )
 from keelgap.packets.exceptions import MalformedEnvelope
-from keelgap.packets.features import choose_features
+from keelgap.packets.features import resolve_features
 from keelgap.packets.process import (
     DecisionLog,
     PacketProcess,
@@ -84,7 +84,7 @@
             self.format,
             settings.instance.availability_zone,
             now,
-            choose_features(
+            resolve_features(
                 settings.features,
                 self.adapter.read_terms(settings.features.terms),
             ),
@@ -199,7 +199,7 @@
     def _handle_caller_packet(
         self, datagram: bytes, sender: tuple[str, int]
     ) -> None:
-        if not self.format.is_whole(datagram):
+        if not self.format.has_valid_length(datagram):
             self.process.counters.count('drop_malformed_packet')
             return
         if not self.has_served:
@@ -246,7 +246,7 @@
             'routes_version': state.catalog.routes.version,
             'catalog_heard_seconds_ago': now - follower.answered_at,
             'reaches_store': follower.reaches_store,
-            'reads_store': follower.reads,
+            'reads_store': follower.is_reader,
             'isolated': self.is_isolated,
             'routes': len(state.routes),
             'upstreams': len(views),
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/shares.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/shares.py
@@ -15,7 +15,7 @@
 
 from typing import Final, NamedTuple
 
-from keelgap.packets.decay import DecayingCount
+from keelgap.packets.decay import DecayingCounter
 from keelgap_balancer.packets import defaults
 
 __all__ = ('CallerShares', 'Queue')
@@ -52,7 +52,7 @@
     def __init__(self) -> None:
         """Create an empty table."""
         #: By queue and host of the caller, least recently active first.
-        self.counts: dict[tuple[Queue, bytes], DecayingCount] = {}
+        self.counts: dict[tuple[Queue, bytes], DecayingCounter] = {}
         #: By queue.
         self.levels: dict[Queue, _FairLevel] = {}
 
@@ -61,7 +61,7 @@
         key = (queue, host)
         count = self.counts.pop(key, None)
         if count is None:
-            count = DecayingCount(defaults.SHARE_SECONDS, now)
+            count = DecayingCounter(defaults.SHARE_SECONDS, now)
             if len(self.counts) >= defaults.MAX_CALLERS:
                 self.counts.pop(next(iter(self.counts)))
         level = self.get_level(queue, now)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
@@ -12,7 +12,7 @@
 from keelgap.packets.envelopes import Stamp
 from keelgap.packets.features import NO_FEATURES, Features
 from keelgap.packets.formats import PacketFormat
-from keelgap.packets.generations import Generations
+from keelgap.packets.generations import GenerationalCache
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.ages import CallerAges
 from keelgap_balancer.packets.placing.memory import PlacingMemory
@@ -40,9 +40,9 @@
     dropped_at: float
 
 
-def make_owners(now: float) -> Generations[AgentView]:
+def make_owners(now: float) -> GenerationalCache[AgentView]:
     """Return a cache of flow owners, whose entries may be out of date."""
-    return Generations(
+    return GenerationalCache(
         defaults.FLOW_GENERATION_SECONDS,
         defaults.MAX_FLOWS,
         now,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/verdicts.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/verdicts.py
@@ -7,7 +7,7 @@
 
 from keelgap.catalog.models import PacketRoute
 from keelgap.packets.directory import choose_nodes
-from keelgap.runtime.lines import MAX_NAMED
+from keelgap.runtime.lines import MAX_LISTED
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import (
     CatchUp,
@@ -198,7 +198,7 @@
         'members': len(list_members(state, route)),
         'nodes': nodes,
         'denied_by': len(search.missed),
-        'denied_by_hosts': sorted(search.missed)[:MAX_NAMED],
+        'denied_by_hosts': sorted(search.missed)[:MAX_LISTED],
         'known_change': state.latest_change,
     }
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/views.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/views.py
@@ -2,7 +2,7 @@
 
 from keelgap.catalog.models import PacketUpstream
 from keelgap.packets.envelopes import (
-    JUST_BEGUN,
+    UNKNOWN_WAIT,
     CallerWait,
     Envelope,
     EnvelopeKind,
@@ -98,7 +98,7 @@
         hop: int = 0,
         priority: int = 0,
         left_ms: int = 0,
-        wait: CallerWait = JUST_BEGUN,
+        wait: CallerWait = UNKNOWN_WAIT,
     ) -> SendToAgent:
         """Return the effect that sends an envelope to this agent."""
         envelope = Envelope(
--- a/packages/keelgap/src/keelgap/catalog/builder.py
+++ b/packages/keelgap/src/keelgap/catalog/builder.py
@@ -62,7 +62,7 @@
         #: they are.
         self.evacuated: dict[str, int] = {}
         #: Ids of upstreams whose service is unknown.
-        self.strangers: frozenset[str] = frozenset()
+        self.unknown_service_ids: frozenset[str] = frozenset()
 
     def update(
         self,
@@ -178,11 +178,13 @@
             for upstream_id, upstream in rows.items()
             if upstream.service in services
         }
-        strangers = frozenset(rows.keys() - served.keys())
+        unknown_service_ids = frozenset(rows.keys() - served.keys())
         prefix = self.decoders.upstream_prefix
         faults.extend(
             EntryFault(f'{prefix}{upstream_id}', UnknownService())
-            for upstream_id in sorted(strangers - self.strangers)
+            for upstream_id in sorted(
+                unknown_service_ids - self.unknown_service_ids
+            )
         )
-        self.strangers = strangers
+        self.unknown_service_ids = unknown_service_ids
         return served
--- a/packages/keelgap/src/keelgap/catalog/defaults.py
+++ b/packages/keelgap/src/keelgap/catalog/defaults.py
@@ -3,87 +3,87 @@
 from typing import Final
 
 __all__ = (
-    'BEHIND_SECONDS',
-    'ENTRY_LIFE_SECONDS',
-    'ENTRY_RETURN_SECONDS',
-    'FIRST_PAGE_SECONDS',
-    'FIRST_RETRY_MAX_SECONDS',
-    'GATHER_SECONDS',
-    'KEPT_CHANGES',
-    'MAX_TOLD_BY_READER',
-    'PASSED_ON_READER_SECONDS',
+    'BEHIND_TOLERANCE_SECONDS',
+    'MIN_ENTRY_LIFETIME_SECONDS',
+    'ENTRY_RECOVERY_SECONDS',
+    'FIRST_PAGE_TIMEOUT_SECONDS',
+    'STARTUP_RETRY_MAX_SECONDS',
+    'BATCH_PAUSE_SECONDS',
+    'MAX_RECENT_CHANGES',
+    'READER_FANOUT',
+    'RELAYED_CLAIM_TTL_SECONDS',
     'PEER_FETCH_SECONDS',
-    'PROBE_SECONDS',
-    'READERS',
-    'READER_SECONDS',
-    'READER_TURN_SECONDS',
+    'PROBE_WAIT_SECONDS',
+    'READER_COUNT',
+    'CLAIM_TTL_SECONDS',
+    'READER_STAGGER_SECONDS',
     'RETRY_FIRST_SECONDS',
     'RETRY_MAX_SECONDS',
-    'WATCH_SECONDS',
+    'WATCH_WAIT_SECONDS',
 )
 
 #: A peer that has been ahead for this time is queried even if the store seems
 #: to respond: a watch may be silent for a second before it is aborted.
-BEHIND_SECONDS: Final = 1.0
+BEHIND_TOLERANCE_SECONDS: Final = 1.0
 
 #: Minimum time from the first write of an entry to its expiry: upstreams write
 #: every 1.2 s and may miss three reports.  Slightly less than that, because
 #: clocks differ.
-ENTRY_LIFE_SECONDS: Final = 3.0
+MIN_ENTRY_LIFETIME_SECONDS: Final = 3.0
 
 #: Entries of live upstreams that expired while the store was unavailable are
 #: back within about 2 s of its recovery, according to the platform; this adds
 #: a margin of a quarter.
-ENTRY_RETURN_SECONDS: Final = 2.5
+ENTRY_RECOVERY_SECONDS: Final = 2.5
 
 #: Before the first catalog no caller is served, so a first page that has not
 #: arrived after this time is requested again on another connection, while the
 #: earlier requests stay pending.  50 response times of the store.  If more than
 #: READER_COUNT processes start, each waits longer: the first one that gets a
 #: response informs the others.
-FIRST_PAGE_SECONDS: Final = 0.2
+FIRST_PAGE_TIMEOUT_SECONDS: Final = 0.2
 
 #: Maximum pause after failed requests before the first catalog.
-FIRST_RETRY_MAX_SECONDS: Final = 0.2
+STARTUP_RETRY_MAX_SECONDS: Final = 0.2
 
 #: Pause before the next watch, so that concurrent changes are read with one
 #: request.  Changes, including drains, must be in force within 3 s.
-GATHER_SECONDS: Final = 0.3
+BATCH_PAUSE_SECONDS: Final = 0.3
 
 #: Maximum wait of one watch.  A connection may go silent permanently while its
 #: peer still acknowledges octets; only the missing response reveals it.  With
 #: the additional second that the store may take, a lost watch is detected
 #: after 2 s, and changes must be in force within 3 s.
-WATCH_SECONDS: Final = 1.0
+WATCH_WAIT_SECONDS: Final = 1.0
 
 #: Wait of the first watch after a failed request, short in order to find out
 #: quickly whether the store responds at all.
-PROBE_SECONDS: Final = 0.05
+PROBE_WAIT_SECONDS: Final = 0.05
 
 #: Number of processes that read the store for all.  According to the platform
 #: two may be cut off at once; a third serves the others until that is detected.
-READERS: Final = 3
+READER_COUNT: Final = 3
 
 #: Time after which the claim of a reader expires: three messages.
-READER_SECONDS: Final = 1.6
+CLAIM_TTL_SECONDS: Final = 1.6
 
 #: Processes to which a reader sends its claim and revision every half second:
 #: 24 messages of 112 octets including headers, twice per second, are 5.4 KB/s.
-MAX_TOLD_BY_READER: Final = 24
+READER_FANOUT: Final = 24
 
 #: Replaces CLAIM_TTL_SECONDS in fleets in which most processes learn of readers
 #: from others: claims are relayed in about 11 rounds of half a second at 2,600
 #: processes.
-PASSED_ON_READER_SECONDS: Final = 8.0
+RELAYED_CLAIM_TTL_SECONDS: Final = 8.0
 
 #: Delay by which each lower rank waits longer before it starts to read in place
 #: of higher ranks that do not; the claim of a new reader arrives within half a
 #: second.
-READER_TURN_SECONDS: Final = 0.6
+READER_STAGGER_SECONDS: Final = 0.6
 
 #: Maximum recent changes kept for followers; a follower that missed more
 #: fetches all entries.
-KEPT_CHANGES: Final = 512
+MAX_RECENT_CHANGES: Final = 512
 
 #: First pause after a failed request; about ten response times of the store.
 RETRY_FIRST_SECONDS: Final = 0.1
--- a/packages/keelgap/src/keelgap/catalog/documents.py
+++ b/packages/keelgap/src/keelgap/catalog/documents.py
@@ -15,7 +15,7 @@
     FollowerEvent,
     SnapshotReceived,
 )
-from keelgap.catalog.exceptions import UNREADABLE
+from keelgap.catalog.exceptions import DECODE_ERRORS
 from keelgap.catalog.models import Entry
 from keelgap.catalog.state import FollowerState
 from keelgap.exceptions import KeelgapError
@@ -36,7 +36,7 @@
 _MAX_OCTETS: Final = 67108864
 #: Maps each octet to one character, so that any content is preserved.
 _ENCODING: Final = 'latin-1'
-_DECODE_ERRORS: Final = (*UNREADABLE, zlib.error)
+_DECODE_ERRORS: Final = (*DECODE_ERRORS, zlib.error)
 
 
 class MalformedCatalog(KeelgapError):
@@ -47,7 +47,7 @@
 
 def encode_catalog(state: FollowerState, after: int) -> bytes:
     """Encode the changes after a revision, or all entries if unknown."""
-    after = after if after and after >= state.kept_after else 0
+    after = after if after and after >= state.recent_changes_after else 0
     changes = _list_changes(state, after) if after else _list_all(state)
     document = {
         'revision': state.revision if state.complete else 0,
@@ -63,7 +63,7 @@
     A deletion is preceded by the last written entry, because a process that
     has never read the entry must learn that it existed.
     """
-    changes = [one for one in state.kept if one.revision > after]
+    changes = [one for one in state.recent_changes if one.revision > after]
     latest = {one.key: one for one in changes}
     written = {one.key: one for one in changes if one.entry is not None}
     ended = [last for key, last in written.items() if latest[key].entry is None]
--- a/packages/keelgap/src/keelgap/catalog/driver.py
+++ b/packages/keelgap/src/keelgap/catalog/driver.py
@@ -14,7 +14,7 @@
 )
 from keelgap.catalog.effects import (
     EntriesChanged,
-    FetchSnapshot,
+    FetchCatalog,
     FollowerEffect,
     ReadFirstPageAgain,
     ReadPage,
@@ -23,17 +23,17 @@
     WatchChanges,
 )
 from keelgap.catalog.events import (
-    CatchUpWanted,
+    CatchUpRequested,
     FollowerEvent,
     PeerAhead,
-    ReadingDecided,
+    ReaderRoleDecided,
     TimerFired,
 )
 from keelgap.catalog.follower import reduce, start
 from keelgap.catalog.models import Catalog
 from keelgap.catalog.state import FollowerState
-from keelgap.runtime.http import HttpAnswer, HttpClient
-from keelgap.runtime.lines import MAX_NAMED, LogLines
+from keelgap.runtime.http import HttpClient, HttpResponse
+from keelgap.runtime.lines import MAX_LISTED, JsonLog
 from keelgap.runtime.loop import EventLoop
 from keelgap.runtime.pages import Page
 
@@ -65,7 +65,7 @@
     def __init__(
         self,
         loop: EventLoop,
-        lines: LogLines,
+        lines: JsonLog,
         decoders: Decoders,
         on_catalog: Callable[[Catalog], None],
         on_status_change: Callable[[], None],
@@ -93,7 +93,7 @@
             ReadPage: self._schedule_page,
             ReadFirstPageAgain: self._read_first_page_again,
             WatchChanges: self._schedule_watch,
-            FetchSnapshot: self._fetch,
+            FetchCatalog: self._fetch,
             EntriesChanged: self._apply_changes,
             StoreLost: self._log_store_lost,
             StoreRegained: self._log_store_regained,
@@ -116,9 +116,9 @@
 
     def catch_up(self) -> None:
         """Read changes without waiting for the pause between watches."""
-        self.take(CatchUpWanted(self.loop.clock()))
+        self.take(CatchUpRequested(self.loop.clock()))
 
-    def note_peer(self, peer: Address, revision: int) -> None:
+    def record_peer_revision(self, peer: Address, revision: int) -> None:
         """Record the revision that a peer holds."""
         if revision > self.state.revision:
             self.take(PeerAhead(self.loop.clock(), peer, revision))
@@ -128,14 +128,14 @@
         """Return whether the store responded to the latest request."""
         return self.state.failing_since is None
 
-    def decide_reading(
+    def set_reader_role(
         self,
-        reads: bool,  # noqa: FBT001
+        is_reader: bool,  # noqa: FBT001
         processes: int,
     ) -> None:
         """Start to read the store, or to follow peers that read it."""
         now = self.loop.clock()
-        self.take(ReadingDecided(now, reads, processes))
+        self.take(ReaderRoleDecided(now, is_reader, processes))
 
     def make_catalog_page(self, query: str) -> Page:
         """Return the changes after the revision in the query, for a peer."""
@@ -181,7 +181,7 @@
 
         self.loop.call_after(delay, call_if_latest)
 
-    def _fetch(self, effect: FetchSnapshot) -> None:
+    def _fetch(self, effect: FetchCatalog) -> None:
         client = self.peer_client
         if client is None or client.address != effect.peer:
             if client is not None:
@@ -195,7 +195,7 @@
             self._handle_peer_response,
         )
 
-    def _handle_peer_response(self, response: HttpAnswer) -> None:
+    def _handle_peer_response(self, response: HttpResponse) -> None:
         reason = response.failure
         if response.status == _OK:
             try:
@@ -254,7 +254,7 @@
         for fault in faults:
             reason = fault.error.reason
             self.count(f'entry_refused_{reason}')
-        listed = faults[:MAX_NAMED]
+        listed = faults[:MAX_LISTED]
         self.lines.decide(
             'entries_refused',
             count=len(faults),
--- a/packages/keelgap/src/keelgap/catalog/effects.py
+++ b/packages/keelgap/src/keelgap/catalog/effects.py
@@ -8,7 +8,7 @@
 
 __all__ = (
     'EntriesChanged',
-    'FetchSnapshot',
+    'FetchCatalog',
     'FollowerEffect',
     'ReadFirstPageAgain',
     'ReadPage',
@@ -37,7 +37,7 @@
     wait_seconds: float
 
 
-class FetchSnapshot(NamedTuple):
+class FetchCatalog(NamedTuple):
     """Request later changes, or all entries, from a peer."""
 
     peer: Address
@@ -75,7 +75,7 @@
     ReadPage
     | ReadFirstPageAgain
     | WatchChanges
-    | FetchSnapshot
+    | FetchCatalog
     | EntriesChanged
     | StoreLost
     | StoreRegained
--- a/packages/keelgap/src/keelgap/catalog/events.py
+++ b/packages/keelgap/src/keelgap/catalog/events.py
@@ -7,7 +7,7 @@
 
 __all__ = (
     'CallFailed',
-    'CatchUpWanted',
+    'CatchUpRequested',
     'ChangesRead',
     'DeltaReceived',
     'EntryChange',
@@ -15,7 +15,7 @@
     'HistoryLost',
     'PageRead',
     'PeerAhead',
-    'ReadingDecided',
+    'ReaderRoleDecided',
     'SnapshotReceived',
     'TimerFired',
 )
@@ -66,7 +66,7 @@
     is_unreadable: bool = False
 
 
-class CatchUpWanted(NamedTuple):
+class CatchUpRequested(NamedTuple):
     """A decision is waiting for changes that are known to others."""
 
     now: float
@@ -98,11 +98,11 @@
     revision: int
 
 
-class ReadingDecided(NamedTuple):
+class ReaderRoleDecided(NamedTuple):
     """This process should read the store, or follow processes that do."""
 
     now: float
-    reads: bool
+    is_reader: bool
     #: Number of known processes, including this one.
     processes: int
 
@@ -118,10 +118,10 @@
     | ChangesRead
     | HistoryLost
     | CallFailed
-    | CatchUpWanted
+    | CatchUpRequested
     | DeltaReceived
     | PeerAhead
-    | ReadingDecided
+    | ReaderRoleDecided
     | SnapshotReceived
     | TimerFired
 )
--- a/packages/keelgap/src/keelgap/catalog/exceptions.py
+++ b/packages/keelgap/src/keelgap/catalog/exceptions.py
@@ -4,10 +4,10 @@
 
 from keelgap.exceptions import KeelgapError
 
-__all__ = ('UNREADABLE', 'EntryRefused', 'StaleStart', 'UnknownService')
+__all__ = ('DECODE_ERRORS', 'EntryRefused', 'StaleStart', 'UnknownService')
 
 #: Exceptions that decoding a document of any content may raise.
-UNREADABLE: Final = (
+DECODE_ERRORS: Final = (
     ValueError,
     KeyError,
     TypeError,
--- a/packages/keelgap/src/keelgap/catalog/follower.py
+++ b/packages/keelgap/src/keelgap/catalog/follower.py
@@ -12,7 +12,7 @@
 
 from keelgap.catalog import defaults
 from keelgap.catalog.effects import (
-    FetchSnapshot,
+    FetchCatalog,
     FollowerEffect,
     ReadFirstPageAgain,
     ReadPage,
@@ -22,18 +22,18 @@
 )
 from keelgap.catalog.events import (
     CallFailed,
-    CatchUpWanted,
+    CatchUpRequested,
     ChangesRead,
     DeltaReceived,
     FollowerEvent,
     HistoryLost,
     PageRead,
     PeerAhead,
-    ReadingDecided,
+    ReaderRoleDecided,
     SnapshotReceived,
     TimerFired,
 )
-from keelgap.catalog.state import FollowerState, apply_all, replace_all
+from keelgap.catalog.state import FollowerState, apply_changes, replace_entries
 
 __all__ = ('reduce', 'start')
 
@@ -64,16 +64,16 @@
     entries = state.pages
     revision = state.first_page_revision
     _end_reading(state)
-    replaced = replace_all(state, entries, revision, 'store', event.now)
+    replaced = replace_entries(state, entries, revision, 'store', event.now)
     return (*regained, *replaced, *_continue_watching(state, 0))
 
 
 def _continue_watching(state: FollowerState, delay: float) -> Effects:
     """Watch for the next changes if this process reads the store."""
-    if not state.reads:
+    if not state.is_reader:
         state.is_idle = True
         return ()
-    return (WatchChanges(delay, state.revision, defaults.WATCH_SECONDS),)
+    return (WatchChanges(delay, state.revision, defaults.WATCH_WAIT_SECONDS),)
 
 
 def _go_idle(state: FollowerState) -> Effects:
@@ -85,15 +85,17 @@
     return ()
 
 
-def _handle_reader_role(state: FollowerState, event: ReadingDecided) -> Effects:
+def _handle_reader_role(
+    state: FollowerState, event: ReaderRoleDecided
+) -> Effects:
     """Start to read or to follow; a pending request still completes."""
-    state.reads = event.reads
-    state.callers_share = max(event.processes / defaults.READERS, 1)
-    if not event.reads or not state.is_idle:
+    state.is_reader = event.is_reader
+    state.retry_scale = max(event.processes / defaults.READER_COUNT, 1)
+    if not event.is_reader or not state.is_idle:
         return ()
     state.is_idle = False
     # It is not known yet whether the store responds to this process.
-    return (WatchChanges(0, state.revision, defaults.PROBE_SECONDS),)
+    return (WatchChanges(0, state.revision, defaults.PROBE_WAIT_SECONDS),)
 
 
 def _end_reading(state: FollowerState) -> None:
@@ -104,10 +106,10 @@
 
 def _handle_changes(state: FollowerState, event: ChangesRead) -> Effects:
     regained = _record_response(state, event.now)
-    applied = apply_all(state, event.changes, event.revision, 'store')
-    state.current_at = event.now
-    delay = defaults.GATHER_SECONDS if applied else 0
-    state.gathers_until = event.now + delay
+    applied = apply_changes(state, event.changes, event.revision, 'store')
+    state.synced_at = event.now
+    delay = defaults.BATCH_PAUSE_SECONDS if applied else 0
+    state.batching_until = event.now + delay
     return (*regained, *applied, *_continue_watching(state, delay))
 
 
@@ -115,17 +117,17 @@
     """Apply changes from a peer if they continue the known revision."""
     if not event.after <= state.revision < event.revision:
         return ()
-    state.current_at = event.now
-    return apply_all(state, event.changes, event.revision, 'peer')
+    state.synced_at = event.now
+    return apply_changes(state, event.changes, event.revision, 'peer')
 
 
-def _handle_catch_up(state: FollowerState, event: CatchUpWanted) -> Effects:
+def _handle_catch_up(state: FollowerState, event: CatchUpRequested) -> Effects:
     """End the pause between watches early."""
-    if event.now >= state.gathers_until:
+    if event.now >= state.batching_until:
         # A request is pending, or this process follows its peers.
         return _fetch_from_peer(state, event.now)
-    state.gathers_until = event.now
-    return (WatchChanges(0, state.revision, defaults.WATCH_SECONDS),)
+    state.batching_until = event.now
+    return (WatchChanges(0, state.revision, defaults.WATCH_WAIT_SECONDS),)
 
 
 def _record_response(state: FollowerState, now: float) -> Effects:
@@ -139,7 +141,7 @@
 
 
 def _restart_reading(state: FollowerState, event: HistoryLost) -> Effects:
-    if state.complete and not state.reads:
+    if state.complete and not state.is_reader:
         return _go_idle(state)
     _end_reading(state)
     state.reading_after = ''
@@ -148,7 +150,7 @@
 
 def _handle_failure(state: FollowerState, event: CallFailed) -> Effects:
     lost: Effects = ()
-    if state.complete and not state.reads:
+    if state.complete and not state.is_reader:
         # Others read the store, so this failure has no effect.
         return _go_idle(state)
     if state.failing_since is None:
@@ -163,7 +165,7 @@
     if state.reading_after is None and not event.is_unreadable:
         return (
             *lost,
-            WatchChanges(pause, state.revision, defaults.PROBE_SECONDS),
+            WatchChanges(pause, state.revision, defaults.PROBE_WAIT_SECONDS),
         )
     # Pages of an interrupted read may be too old to combine with new ones.
     _end_reading(state)
@@ -174,8 +176,8 @@
 def _get_max_pause(state: FollowerState) -> float:
     """Return the maximum pause; without a catalog no caller is served."""
     if state.complete:
-        return state.longest_pause
-    return defaults.FIRST_RETRY_MAX_SECONDS * state.callers_share
+        return state.max_retry_pause
+    return defaults.STARTUP_RETRY_MAX_SECONDS * state.retry_scale
 
 
 def _handle_peer_ahead(state: FollowerState, event: PeerAhead) -> Effects:
@@ -202,7 +204,7 @@
     """
     reads_first_page = not state.complete and not state.reading_after
     waited = now - state.first_page_asked_at
-    timeout = defaults.FIRST_PAGE_SECONDS * state.callers_share
+    timeout = defaults.FIRST_PAGE_TIMEOUT_SECONDS * state.retry_scale
     if not reads_first_page or waited < timeout:
         return ()
     state.first_page_asked_at = now
@@ -217,19 +219,21 @@
     if peer_ahead.revision <= state.revision:
         state.peer_ahead = None
         return ()
-    is_within_tolerance = now - state.behind_since < defaults.BEHIND_SECONDS
-    if state.reads and state.reaches_store and is_within_tolerance:
+    is_within_tolerance = (
+        now - state.behind_since < defaults.BEHIND_TOLERANCE_SECONDS
+    )
+    if state.is_reader and state.reaches_store and is_within_tolerance:
         return ()
     if now - state.fetched_at < defaults.PEER_FETCH_SECONDS:
         return ()
     state.fetched_at = now
-    return (FetchSnapshot(peer_ahead.peer),)
+    return (FetchCatalog(peer_ahead.peer),)
 
 
 def _handle_snapshot(state: FollowerState, event: SnapshotReceived) -> Effects:
     if event.revision <= state.revision:
         return ()
-    return replace_all(
+    return replace_entries(
         state,
         event.entries,
         event.revision,
@@ -246,9 +250,9 @@
         ChangesRead: _handle_changes,
         HistoryLost: _restart_reading,
         CallFailed: _handle_failure,
-        CatchUpWanted: _handle_catch_up,
+        CatchUpRequested: _handle_catch_up,
         DeltaReceived: _handle_delta,
-        ReadingDecided: _handle_reader_role,
+        ReaderRoleDecided: _handle_reader_role,
         PeerAhead: _handle_peer_ahead,
         SnapshotReceived: _handle_snapshot,
         TimerFired: _handle_timer,
--- a/packages/keelgap/src/keelgap/catalog/models.py
+++ b/packages/keelgap/src/keelgap/catalog/models.py
@@ -15,7 +15,7 @@
     'PacketUpstream',
     'RouteSet',
     'ServiceLimits',
-    'Share',
+    'TrafficShare',
     'UpstreamIdentity',
 )
 
@@ -29,7 +29,7 @@
     revision: int
 
 
-class Share(NamedTuple):
+class TrafficShare(NamedTuple):
     """Weight by which a service gets new flows of a route."""
 
     service: str
@@ -42,11 +42,11 @@
     name: str
     host: str
     port: int
-    shares: tuple[Share, ...]
+    shares: tuple[TrafficShare, ...]
     #: Priority; 0 is served first under overload.
     priority: int = 0
     #: Target response time in seconds, up to which a response has full value.
-    aim_seconds: float = 1.0
+    target_seconds: float = 1.0
     #: Seconds after which callers stop waiting for a response.
     timeout_seconds: float = 30.0
     #: Whether callers may repeat requests that may have been run.
@@ -58,7 +58,7 @@
 
     #: Maximum new flows per second to an upstream during warm-up; 0 if the
     #: table states no limit.
-    cold_per_second: float = 0
+    warm_up_flow_rate: float = 0
 
 
 class RouteSet(NamedTuple):
--- a/packages/keelgap/src/keelgap/catalog/readers.py
+++ b/packages/keelgap/src/keelgap/catalog/readers.py
@@ -14,7 +14,7 @@
 
 from keelgap.catalog import defaults
 
-__all__ = ('ReaderClaim', 'Readers')
+__all__ = ('ReaderClaim', 'ReaderElection')
 
 
 class ReaderClaim(NamedTuple):
@@ -29,7 +29,7 @@
     return xxh3_64_intdigest(host.encode())
 
 
-class Readers:
+class ReaderElection:
     """Readers known to one process, and whether it is a reader itself."""
 
     def __init__(self, own_host: str) -> None:
@@ -43,9 +43,9 @@
         #: Time since which too few readers are known.
         self.shortage_since: float | None = None
         #: Seconds after which a claim expires.
-        self.fresh_seconds = defaults.READER_SECONDS
+        self.fresh_seconds = defaults.CLAIM_TTL_SECONDS
 
-    def note_claim(self, claim: ReaderClaim, now: float) -> None:
+    def record_claim(self, claim: ReaderClaim, now: float) -> None:
         """Record a claim unless later information is known."""
         claimed_at = now - claim.age
         if (
@@ -56,7 +56,7 @@
         known = self.claim_times.get(claim.host, claimed_at)
         self.claim_times[claim.host] = max(known, claimed_at)
 
-    def note_refusal(self, host: str, now: float) -> None:
+    def record_withdrawal(self, host: str, now: float) -> None:
         """Record the statement of a host that it does not read the store.
 
         Others may still relay its earlier claims, which are then ignored.
@@ -77,7 +77,7 @@
         fresh.sort(key=self.claim_times.__getitem__, reverse=True)
         return tuple(
             ReaderClaim(host, now - self.claim_times[host])
-            for host in fresh[: defaults.READERS]
+            for host in fresh[: defaults.READER_COUNT]
         )
 
     def decide(self, now: float, others: Collection[str]) -> bool:
@@ -86,17 +86,17 @@
         Known processes of higher rank get the chance to start first.  Each
         delays this process by a limited time, in case it has terminated.
         """
-        if len(others) > defaults.MAX_TOLD_BY_READER:
+        if len(others) > defaults.READER_FANOUT:
             # Most processes learn of readers from relayed claims.
-            self.fresh_seconds = defaults.PASSED_ON_READER_SECONDS
+            self.fresh_seconds = defaults.RELAYED_CLAIM_TTL_SECONDS
         else:
-            self.fresh_seconds = defaults.READER_SECONDS
+            self.fresh_seconds = defaults.CLAIM_TTL_SECONDS
         fresh = self.list_fresh(now)
         ranks_higher = _make_rank_filter(self.own_host)
-        shortage = defaults.READERS - len(fresh)
+        shortage = defaults.READER_COUNT - len(fresh)
         if self.is_reader:
             higher_ranked = sum(map(ranks_higher, fresh))
-            self.is_reader = higher_ranked < defaults.READERS
+            self.is_reader = higher_ranked < defaults.READER_COUNT
             self.shortage_since = None
         elif shortage <= 0:
             self.shortage_since = None
@@ -106,7 +106,7 @@
             since = self.shortage_since
             self.shortage_since = now if since is None else since
             waited = now - self.shortage_since
-            self.is_reader = waited >= turn * defaults.READER_TURN_SECONDS
+            self.is_reader = waited >= turn * defaults.READER_STAGGER_SECONDS
         return self.is_reader
 
     def _get_withdrawal_time(self, host: str) -> float:
--- a/packages/keelgap/src/keelgap/catalog/starts.py
+++ b/packages/keelgap/src/keelgap/catalog/starts.py
@@ -14,13 +14,13 @@
 
 #: Maximum ids whose start is remembered after their entry was deleted: reports
 #: reach the store up to 6 s late, and a few dozen upstreams end in that time.
-MAX_ENDED: Final = 4096
+MAX_REMEMBERED_IDS: Final = 4096
 
 #: Number of reports of an earlier start that are refused before one is
 #: accepted, because the clock of an upstream may have been set back between two
 #: starts.  Such a start keeps reporting every 1.2 s, whereas at most the last
 #: one or two reports of an earlier start are late.
-REFUSED_REPORTS: Final = 2
+MAX_REFUSED_REPORTS: Final = 2
 
 
 class UpstreamTable:
@@ -39,7 +39,7 @@
         upstream_id = upstream.upstream_id
         latest_start = self.started.get(upstream_id, 0)
         refused = self.refused.get(upstream_id, 0)
-        if upstream.started < latest_start and refused < REFUSED_REPORTS:
+        if upstream.started < latest_start and refused < MAX_REFUSED_REPORTS:
             self.refused[upstream_id] = refused + 1
             raise StaleStart(upstream_id, upstream.started, latest_start)
         self.refused.pop(upstream_id, None)
@@ -50,7 +50,7 @@
     def remove(self, upstream_id: str) -> None:
         """Remove an upstream, but remember its start."""
         self.rows.pop(upstream_id, None)
-        if len(self.started) <= len(self.rows) + MAX_ENDED:
+        if len(self.started) <= len(self.rows) + MAX_REMEMBERED_IDS:
             return
         oldest = next(one for one in self.started if one not in self.rows)
         self.started.pop(oldest)
--- a/packages/keelgap/src/keelgap/catalog/state.py
+++ b/packages/keelgap/src/keelgap/catalog/state.py
@@ -7,7 +7,7 @@
 from keelgap.catalog.events import EntryChange, PeerAhead
 from keelgap.catalog.models import Entry
 
-__all__ = ('FollowerState', 'apply_all', 'replace_all')
+__all__ = ('FollowerState', 'apply_changes', 'replace_entries')
 
 
 class FollowerState:
@@ -27,25 +27,27 @@
         #: Key after which the next page starts; None while watching.
         self.reading_after: str | None = ''
         #: Whether this process reads the store; otherwise it follows readers.
-        self.reads = True
+        self.is_reader = True
         #: Whether no request is pending or scheduled.
         self.is_idle = False
         #: Recent changes, oldest first, for followers.
-        self.kept: deque[EntryChange] = deque(maxlen=defaults.KEPT_CHANGES)
+        self.recent_changes: deque[EntryChange] = deque(
+            maxlen=defaults.MAX_RECENT_CHANGES
+        )
         #: Revision after which the recent changes are complete.
-        self.kept_after = 0
+        self.recent_changes_after = 0
         #: End of the pause between watches, in which changes accumulate.
-        self.gathers_until = now
+        self.batching_until = now
         self.failures = 0
         #: Number of processes that may read the store, as a multiple of
         #: READER_COUNT.  Each multiplies its pauses by this factor, so that the
         #: total rate of requests stays the same.
-        self.callers_share: float = 1
+        self.retry_scale: float = 1
         self.failing_since: float | None = None
         #: Time of the latest response of the store.
         self.answered_at = now
         #: Time at which the entries were last known to be complete.
-        self.current_at = now
+        self.synced_at = now
         #: Whether all entries were ever read, from the store or from a peer.
         self.complete = False
         #: Time of the latest or scheduled request for the first page.
@@ -56,9 +58,9 @@
         self.behind_since = now
 
     @property
-    def longest_pause(self) -> float:
+    def max_retry_pause(self) -> float:
         """Return the maximum pause after a failure, in seconds."""
-        return defaults.RETRY_MAX_SECONDS * self.callers_share
+        return defaults.RETRY_MAX_SECONDS * self.retry_scale
 
     @property
     def reaches_store(self) -> bool:
@@ -66,7 +68,7 @@
         return self.complete and self.failing_since is None
 
 
-def replace_all(
+def replace_entries(
     state: FollowerState,
     entries: dict[str, Entry],
     revision: int,
@@ -80,9 +82,9 @@
     """
     if revision < state.revision:
         return ()
-    elapsed = now - state.current_at
-    has_gap = state.complete and elapsed >= defaults.ENTRY_LIFE_SECONDS
-    state.current_at = now
+    elapsed = now - state.synced_at
+    has_gap = state.complete and elapsed >= defaults.MIN_ENTRY_LIFETIME_SECONDS
+    state.synced_at = now
     changed = []
     for key, entry in entries.items():
         held = state.entries.get(key)
@@ -95,8 +97,8 @@
             changed.append(key)
     state.revision = revision
     _update_latest_change(state, [held.revision for held in entries.values()])
-    state.kept.clear()
-    state.kept_after = revision
+    state.recent_changes.clear()
+    state.recent_changes_after = revision
     is_first = not state.complete
     state.complete = True
     if not changed and not is_first and not has_gap:
@@ -112,7 +114,7 @@
     )
 
 
-def apply_all(
+def apply_changes(
     state: FollowerState,
     changes: tuple[EntryChange, ...],
     revision: int,
@@ -153,9 +155,9 @@
 
 
 def _record_change(state: FollowerState, change: EntryChange) -> None:
-    if len(state.kept) == state.kept.maxlen:
-        state.kept_after = state.kept[0].revision
-    state.kept.append(change)
+    if len(state.recent_changes) == state.recent_changes.maxlen:
+        state.recent_changes_after = state.recent_changes[0].revision
+    state.recent_changes.append(change)
 
 
 def _apply_change(state: FollowerState, change: EntryChange) -> bool:
--- a/packages/keelgap/src/keelgap/dissemination/defaults.py
+++ b/packages/keelgap/src/keelgap/dissemination/defaults.py
@@ -11,13 +11,13 @@
     'JOIN_SECONDS',
     'LOCAL_NEIGHBOURS',
     'MAX_PUSHED',
-    'READERS',
+    'READER_COUNT',
     'REMOTE_NEIGHBOURS',
     'TIMER_SECONDS',
 )
 
 #: Readers in each availability zone: one may fail without a gap.
-READERS: Final = 2
+READER_COUNT: Final = 2
 
 #: Neighbours in the own availability zone.  They are fixed while the list of
 #: instances is, so that connections stay open.
--- a/packages/keelgap/src/keelgap/dissemination/neighbours.py
+++ b/packages/keelgap/src/keelgap/dissemination/neighbours.py
@@ -38,7 +38,7 @@
         for one in instances.instances
         if one.availability_zone == zone and one.state == 'live'
     ]
-    chosen = _rank_instances(zone.encode(), members, defaults.READERS)
+    chosen = _rank_instances(zone.encode(), members, defaults.READER_COUNT)
     return identity.control in chosen
 
 
--- a/packages/keelgap/src/keelgap/packets/decay.py
+++ b/packages/keelgap/src/keelgap/packets/decay.py
@@ -2,10 +2,10 @@
 
 from math import exp, expm1
 
-__all__ = ('DecayingCount',)
+__all__ = ('DecayingCounter',)
 
 
-class DecayingCount:
+class DecayingCounter:
     """Count events with weights that decay by e per time constant."""
 
     __slots__ = ('value_at_update', 'updated_at', 'started_at', 'time_constant')
--- a/packages/keelgap/src/keelgap/packets/directory.py
+++ b/packages/keelgap/src/keelgap/packets/directory.py
@@ -21,7 +21,7 @@
 from xxhash import xxh3_64_intdigest
 
 __all__ = (
-    'COPIES',
+    'REPLICAS',
     'NO_DIRECTORY',
     'FlowDirectory',
     'choose_nodes',
@@ -30,11 +30,11 @@
 )
 
 #: Nodes per shard, so that one may be unreachable or restarting.
-COPIES: Final = 2
+REPLICAS: Final = 2
 #: Upstreams per shard.  At the design size each upstream opens 14 flows per
 #: second, so a node receives 1,800 registrations per second, which take about
 #: a fifth of a core.
-SHARD_UPSTREAMS: Final = 128
+UPSTREAMS_PER_SHARD: Final = 128
 
 #: Hosts of the nodes of one shard.
 Nodes = tuple[str, ...]
@@ -65,7 +65,7 @@
     members = tuple(hosts)
     if len(members) <= max_without_directory:
         return NO_DIRECTORY
-    count = (len(members) - 1) // SHARD_UPSTREAMS + 1
+    count = (len(members) - 1) // UPSTREAMS_PER_SHARD + 1
     shards = tuple(_choose_replicas(members, shard) for shard in range(count))
     return FlowDirectory(revision, shards)
 
@@ -74,7 +74,7 @@
     ranked = sorted(
         hosts, key=lambda host: xxh3_64_intdigest(host.encode(), shard)
     )
-    return tuple(ranked[:COPIES])
+    return tuple(ranked[:REPLICAS])
 
 
 def choose_nodes(directory: FlowDirectory, key: bytes) -> Nodes:
--- a/packages/keelgap/src/keelgap/packets/directory_messages.py
+++ b/packages/keelgap/src/keelgap/packets/directory_messages.py
@@ -10,30 +10,30 @@
 from keelgap.packets.octets import (
     HOST_LENGTH,
     pack_hosts,
-    split_octets,
-    unpack_head,
+    split_records,
+    unpack_header,
     unpack_hosts,
 )
 
 __all__ = (
-    'MAX_KEYS',
+    'MAX_KEYS_PER_MESSAGE',
     'Coverage',
-    'Lookup',
-    'Question',
+    'LookupResponse',
+    'LookupRequest',
     'Registration',
     'pack_coverage',
-    'pack_lookup',
-    'pack_question',
+    'pack_lookup_response',
+    'pack_lookup_request',
     'pack_registration',
     'split_keys',
     'unpack_coverage',
-    'unpack_lookup',
-    'unpack_question',
+    'unpack_lookup_response',
+    'unpack_lookup_request',
     'unpack_registration',
 )
 
 #: Maximum flow keys per datagram; more would cause IP fragmentation.
-MAX_KEYS: Final = 70
+MAX_KEYS_PER_MESSAGE: Final = 70
 #: Maximum hosts per datagram.
 MAX_HOSTS: Final = 280
 
@@ -66,7 +66,7 @@
     keys: tuple[bytes, ...]
 
 
-class Question(NamedTuple):
+class LookupRequest(NamedTuple):
     """Query from a balancer to a directory node."""
 
     #: Digest of the hosts that the node covers, as known to the balancer.
@@ -74,7 +74,7 @@
     keys: tuple[bytes, ...]
 
 
-class Lookup(NamedTuple):
+class LookupResponse(NamedTuple):
     """Response of a directory node to a balancer."""
 
     #: Digest of the hosts whose registrations are complete at the node.
@@ -96,8 +96,8 @@
 def split_keys(keys: Iterable[bytes]) -> Iterator[tuple[bytes, ...]]:
     """Split keys into groups that fit into one datagram each."""
     key_list = tuple(keys)
-    for offset in range(0, len(key_list), MAX_KEYS):
-        yield key_list[offset : offset + MAX_KEYS]
+    for offset in range(0, len(key_list), MAX_KEYS_PER_MESSAGE):
+        yield key_list[offset : offset + MAX_KEYS_PER_MESSAGE]
 
 
 def pack_registration(registration: Registration) -> bytes:
@@ -108,24 +108,24 @@
 
 def unpack_registration(content: bytes) -> Registration:
     """Decode a registration; raise MalformedEnvelope if invalid."""
-    head = unpack_head(_REGISTRATION, content)
-    keys = split_octets(content[_REGISTRATION.size :], FLOW_KEY_LENGTH)
+    head = unpack_header(_REGISTRATION, content)
+    keys = split_records(content[_REGISTRATION.size :], FLOW_KEY_LENGTH)
     return Registration._make((*head, keys))
 
 
-def pack_question(question: Question) -> bytes:
+def pack_lookup_request(question: LookupRequest) -> bytes:
     """Encode a lookup request."""
     return _DIGEST.pack(question.digest) + b''.join(question.keys)
 
 
-def unpack_question(content: bytes) -> Question:
+def unpack_lookup_request(content: bytes) -> LookupRequest:
     """Decode a lookup request; raise MalformedEnvelope if invalid."""
-    digest = unpack_head(_DIGEST, content)[0]
-    keys = split_octets(content[_DIGEST.size :], FLOW_KEY_LENGTH)
-    return Question(digest, keys)
+    digest = unpack_header(_DIGEST, content)[0]
+    keys = split_records(content[_DIGEST.size :], FLOW_KEY_LENGTH)
+    return LookupRequest(digest, keys)
 
 
-def pack_lookup(lookup: Lookup) -> bytes:
+def pack_lookup_response(lookup: LookupResponse) -> bytes:
     """Encode a lookup response as one record per key and host."""
     rows = [
         key + host
@@ -135,16 +135,16 @@
     return _DIGEST.pack(lookup.digest) + b''.join(rows)
 
 
-def unpack_lookup(content: bytes) -> Lookup:
+def unpack_lookup_response(content: bytes) -> LookupResponse:
     """Decode a lookup response; raise MalformedEnvelope if invalid."""
-    digest = unpack_head(_DIGEST, content)[0]
+    digest = unpack_header(_DIGEST, content)[0]
     by_key: dict[bytes, tuple[str, ...]] = {}
-    for row in split_octets(content[_DIGEST.size :], _RECORD_LENGTH):
+    for row in split_records(content[_DIGEST.size :], _RECORD_LENGTH):
         key = row[:FLOW_KEY_LENGTH]
         host = row[FLOW_KEY_LENGTH:]
         found = () if host == _NO_HOST else (socket.inet_ntoa(host),)
         by_key[key] = by_key.get(key, ()) + found
-    return Lookup(digest, tuple(by_key.items()))
+    return LookupResponse(digest, tuple(by_key.items()))
 
 
 def pack_coverage(hosts: Iterable[str]) -> tuple[bytes, ...]:
@@ -161,6 +161,6 @@
 
 def unpack_coverage(content: bytes) -> Coverage:
     """Decode one part of the hosts; raise MalformedEnvelope if invalid."""
-    head = unpack_head(_COVERAGE, content)
+    head = unpack_header(_COVERAGE, content)
     hosts = unpack_hosts(content[_COVERAGE.size :])
     return Coverage._make((*head, hosts))
--- a/packages/keelgap/src/keelgap/packets/envelopes.py
+++ b/packages/keelgap/src/keelgap/packets/envelopes.py
@@ -16,8 +16,8 @@
 from keelgap.packets.exceptions import MalformedEnvelope
 
 __all__ = (
-    'HEAD_LENGTH',
-    'JUST_BEGUN',
+    'HEADER_LENGTH',
+    'UNKNOWN_WAIT',
     'OPENING_KINDS',
     'NO_STAMP',
     'Envelope',
@@ -48,7 +48,7 @@
 #: Latest format of reports.  A balancer sends the format that it reads in the
 #: hop field of HELLO and ASK envelopes; earlier releases send 0.
 REPORT_FORMAT: Final = 1
-HEAD_LENGTH: Final = _HEADER.size
+HEADER_LENGTH: Final = _HEADER.size
 #: Upper bounds of the unsigned and signed header and report fields.
 _MAX_UINT16: Final = 65535
 _MAX_UINT8: Final = 255
@@ -116,14 +116,14 @@
     #: Milliseconds since its first attempt at the request, if known.
     age_ms: int
     #: Milliseconds until it gives up, if this is its first attempt.
-    patience_ms: int
+    max_remaining_ms: int
     #: Milliseconds until it gives up at the earliest, which is the case if
     #: this is its second attempt.
-    assured_ms: int
+    min_remaining_ms: int
 
 
 #: For a caller about whom nothing is known; no request lasts longer.
-JUST_BEGUN: Final = CallerWait(0, _MAX_UINT16, _MAX_UINT16)
+UNKNOWN_WAIT: Final = CallerWait(0, _MAX_UINT16, _MAX_UINT16)
 
 
 class Envelope(NamedTuple):
@@ -148,7 +148,7 @@
     service_tag: int
     content: bytes
     #: Set for new flows only.
-    wait: CallerWait = JUST_BEGUN
+    wait: CallerWait = UNKNOWN_WAIT
 
 
 class Stamp(NamedTuple):
@@ -183,7 +183,7 @@
     #: Whether a repeatable request should be sent as a trial.
     wants_trial: bool = False
     #: Number of requests among ``busy`` that are queued at the agent.
-    waiting: int = 0
+    queued: int = 0
     #: Mean milliseconds for which a request occupies a slot of the upstream;
     #: 0 if unknown.
     work_ms: int = 0
@@ -214,17 +214,19 @@
 
 def unpack_envelope(datagram: bytes) -> tuple[Envelope, Stamp]:
     """Decode a datagram; raise MalformedEnvelope if invalid."""
-    if len(datagram) < HEAD_LENGTH or datagram[0] not in _KINDS:
+    if len(datagram) < HEADER_LENGTH or datagram[0] not in _KINDS:
         raise MalformedEnvelope(len(datagram))
     *header, latest_change, may_lack_entries = _HEADER.unpack_from(datagram)
     stamp = Stamp(latest_change, may_lack_entries)
-    start = HEAD_LENGTH
-    wait = JUST_BEGUN
+    start = HEADER_LENGTH
+    wait = UNKNOWN_WAIT
     if datagram[0] in OPENING_KINDS:
         start += _CALLER_WAIT.size
         if len(datagram) < start:
             raise MalformedEnvelope(len(datagram))
-        wait = CallerWait._make(_CALLER_WAIT.unpack_from(datagram, HEAD_LENGTH))
+        wait = CallerWait._make(
+            _CALLER_WAIT.unpack_from(datagram, HEADER_LENGTH)
+        )
     return Envelope._make((*header, datagram[start:], wait)), stamp
 
 
@@ -247,7 +249,7 @@
     if not report_format:
         return base_report
     return base_report + _REPORT_EXTENSION.pack(
-        min(report.waiting, _MAX_UINT16),
+        min(report.queued, _MAX_UINT16),
         min(report.work_ms, _MAX_UINT16),
     )
 
@@ -258,7 +260,7 @@
         raise MalformedEnvelope(len(content))
     busy, flows, answer_ms, flags = _REPORT.unpack_from(content)
     extension = content[_REPORT.size :]
-    waiting, work_ms = (
+    queued, work_ms = (
         _REPORT_EXTENSION.unpack(extension) if extension else (0, 0)
     )
     return LoadReport(
@@ -268,6 +270,6 @@
         closed=bool(flags & _CLOSED_FLAG),
         is_ejected=bool(flags & _EJECTED_FLAG),
         wants_trial=bool(flags & _WANTS_TRIAL_FLAG),
-        waiting=waiting,
+        queued=queued,
         work_ms=work_ms,
     )
--- a/packages/keelgap/src/keelgap/packets/features.py
+++ b/packages/keelgap/src/keelgap/packets/features.py
@@ -12,16 +12,16 @@
 __all__ = (
     'NO_FEATURES',
     'NO_FEATURE_SETTINGS',
-    'Choice',
+    'FeatureMode',
     'FeatureSettings',
     'Features',
-    'Term',
-    'choose_features',
+    'DeploymentTerm',
+    'resolve_features',
 )
 
 
 @unique
-class Choice(Enum):
+class FeatureMode(Enum):
     """Whether a feature is enabled."""
 
     AUTO = 'auto'
@@ -30,7 +30,7 @@
 
 
 @unique
-class Term(Enum):
+class DeploymentTerm(Enum):
     """Condition that the operators may agree on for a deployment."""
 
     #: Upstreams may fail requests while they report that they are healthy.
@@ -45,15 +45,15 @@
     #: Agreed terms under the platform's names, separated by commas.
     terms: str = ''
     #: Eject upstreams that fail requests, and send trials to them.
-    ejection: Choice = Choice.AUTO
+    ejection: FeatureMode = FeatureMode.AUTO
     #: Schedule all requests to an upstream, not only the first of each flow.
-    scheduling: Choice = Choice.AUTO
+    scheduling: FeatureMode = FeatureMode.AUTO
     #: Place new flows at the upstream with the earliest expected response.
-    placement: Choice = Choice.AUTO
+    placement: FeatureMode = FeatureMode.AUTO
     #: Refuse early what cannot be served in time: ``room`` in the agent,
     #: ``admission`` in the balancer.  Off by default, because it serves fewer
     #: of the callers whose zone has less capacity than others.
-    admission: Choice = Choice.OFF
+    admission: FeatureMode = FeatureMode.OFF
 
 
 #: Used if the settings file has no section ``features``.
@@ -73,24 +73,24 @@
 NO_FEATURES: Final = Features()
 
 
-def choose_features(
+def resolve_features(
     settings: FeatureSettings,
-    terms: AbstractSet[Term],
+    terms: AbstractSet[DeploymentTerm],
 ) -> Features:
     """Return the enabled features; ``auto`` takes the default of the terms."""
-    has_health = Term.UPSTREAM_HEALTH in terms
+    has_health = DeploymentTerm.UPSTREAM_HEALTH in terms
     return Features(
         ejection=_resolve(settings.ejection, default=has_health),
         scheduling=_resolve(settings.scheduling, default=has_health),
         placement=_resolve(settings.placement, default=has_health),
         admission=_resolve(
             settings.admission,
-            default=Term.OVERLOAD in terms,
+            default=DeploymentTerm.OVERLOAD in terms,
         ),
     )
 
 
-def _resolve(mode: Choice, *, default: bool) -> bool:
-    if mode is Choice.AUTO:
+def _resolve(mode: FeatureMode, *, default: bool) -> bool:
+    if mode is FeatureMode.AUTO:
         return default
-    return mode is Choice.ON
+    return mode is FeatureMode.ON
--- a/packages/keelgap/src/keelgap/packets/formats.py
+++ b/packages/keelgap/src/keelgap/packets/formats.py
@@ -42,7 +42,7 @@
 
     header_length: int
     #: Whether the length of the datagram matches its header.
-    is_whole: Callable[[bytes], bool]
+    has_valid_length: Callable[[bytes], bool]
     #: Flow key of a packet from the caller.
     caller_key: Callable[[bytes], bytes]
     #: Flow key of a packet from the upstream.
@@ -58,7 +58,7 @@
     #: Sequence number of the first payload octet.
     sequence: Callable[[bytes], int]
     #: How often the caller sent this opening packet before.
-    copies: Callable[[bytes], int]
+    retransmissions: Callable[[bytes], int]
     #: Sequence number of the next octet that the caller expects.
     acknowledged: Callable[[bytes], int]
     #: IPv4 address of the caller in a packet from the upstream.
--- a/packages/keelgap/src/keelgap/packets/generations.py
+++ b/packages/keelgap/src/keelgap/packets/generations.py
@@ -2,12 +2,12 @@
 
 from typing import Generic, TypeVar
 
-__all__ = ('Generations',)
+__all__ = ('GenerationalCache',)
 
 ValueT = TypeVar('ValueT')
 
 
-class Generations(Generic[ValueT]):
+class GenerationalCache(Generic[ValueT]):
     """Cache of values by flow key, in two generations.
 
     A value expires one to two periods after it was last put or read, or
--- a/packages/keelgap/src/keelgap/packets/notices.py
+++ b/packages/keelgap/src/keelgap/packets/notices.py
@@ -12,9 +12,9 @@
 import struct
 from typing import Final, NamedTuple
 
-from keelgap.packets.directory import COPIES, FlowDirectory
+from keelgap.packets.directory import REPLICAS, FlowDirectory
 from keelgap.packets.exceptions import MalformedEnvelope
-from keelgap.packets.octets import pack_hosts, unpack_head, unpack_hosts
+from keelgap.packets.octets import pack_hosts, unpack_header, unpack_hosts
 
 __all__ = ('UpstreamNotice', 'pack_notice', 'unpack_notice')
 
@@ -35,13 +35,13 @@
     #: Revision of the upstream's entry; the later of two notices wins.
     upstream_revision: int = 0
     #: Whether the upstream started recently.
-    is_young: bool = False
+    is_recent_start: bool = False
     #: Whether the operators took the availability zone out of service.
     is_evacuated: bool = False
     #: Milliseconds until the upstream is warm; 0 if it is.
     warm_up_ms: int = 0
     #: New flows per second that it accepts until then; 0 if no limit is set.
-    cold_per_second: float = 0
+    warm_up_flow_rate: float = 0
 
     @property
     def directory(self) -> FlowDirectory:
@@ -55,10 +55,10 @@
         notice.revision,
         notice.upstream_tag,
         notice.upstream_revision,
-        notice.is_young,
+        notice.is_recent_start,
         notice.is_evacuated,
         min(notice.warm_up_ms, _MAX_UINT32),
-        notice.cold_per_second,
+        notice.warm_up_flow_rate,
     )
     return header + pack_hosts(
         host for nodes in notice.shards for host in nodes
@@ -67,11 +67,12 @@
 
 def unpack_notice(content: bytes) -> UpstreamNotice:
     """Decode a notice; raise MalformedEnvelope if invalid."""
-    revision, *rest = unpack_head(_NOTICE, content)
+    revision, *rest = unpack_header(_NOTICE, content)
     hosts = unpack_hosts(content[_NOTICE.size :])
-    if len(hosts) % COPIES:
+    if len(hosts) % REPLICAS:
         raise MalformedEnvelope(len(content))
     shards = tuple(
-        hosts[start : start + COPIES] for start in range(0, len(hosts), COPIES)
+        hosts[start : start + REPLICAS]
+        for start in range(0, len(hosts), REPLICAS)
     )
     return UpstreamNotice(revision, shards, *rest)
--- a/packages/keelgap/src/keelgap/packets/octets.py
+++ b/packages/keelgap/src/keelgap/packets/octets.py
@@ -10,15 +10,15 @@
 __all__ = (
     'HOST_LENGTH',
     'pack_hosts',
-    'split_octets',
-    'unpack_head',
+    'split_records',
+    'unpack_header',
     'unpack_hosts',
 )
 
 HOST_LENGTH: Final = 4
 
 
-def unpack_head(layout: struct.Struct, content: bytes) -> tuple[Any, ...]:
+def unpack_header(layout: struct.Struct, content: bytes) -> tuple[Any, ...]:
     """Unpack the leading fields; raise MalformedEnvelope if too short."""
     try:
         return layout.unpack_from(content)
@@ -33,10 +33,10 @@
 
 def unpack_hosts(octets: bytes) -> tuple[str, ...]:
     """Decode IPv4 hosts; raise MalformedEnvelope if octets are left over."""
-    return tuple(map(socket.inet_ntoa, split_octets(octets, HOST_LENGTH)))
+    return tuple(map(socket.inet_ntoa, split_records(octets, HOST_LENGTH)))
 
 
-def split_octets(octets: bytes, length: int) -> tuple[bytes, ...]:
+def split_records(octets: bytes, length: int) -> tuple[bytes, ...]:
     """Split into records; raise MalformedEnvelope if octets are left over."""
     if len(octets) % length:
         raise MalformedEnvelope(len(octets))
--- a/packages/keelgap/src/keelgap/packets/openings.py
+++ b/packages/keelgap/src/keelgap/packets/openings.py
@@ -2,16 +2,18 @@
 
 from typing import Final
 
-__all__ = ('OPENING_SECONDS', 'estimate_wait')
+__all__ = ('OPEN_TIMEOUT_SECONDS', 'estimate_open_wait')
 
 #: Times at which a caller sends an opening packet and its retransmissions, in
 #: seconds after the first; the packets count the retransmissions.
 _RETRANSMIT_SECONDS: Final = (0, 0.2, 0.6)
 
 #: Seconds after the first packet at which a caller gives up the attempt.
-OPENING_SECONDS: Final = 1.4
+OPEN_TIMEOUT_SECONDS: Final = 1.4
 
 
-def estimate_wait(copies: int) -> float:
+def estimate_open_wait(retransmissions: int) -> float:
     """Return seconds since the first packet, given the retransmissions."""
-    return _RETRANSMIT_SECONDS[min(copies, len(_RETRANSMIT_SECONDS) - 1)]
+    return _RETRANSMIT_SECONDS[
+        min(retransmissions, len(_RETRANSMIT_SECONDS) - 1)
+    ]
--- a/packages/keelgap/src/keelgap/packets/process.py
+++ b/packages/keelgap/src/keelgap/packets/process.py
@@ -17,8 +17,8 @@
     Gauges,
     make_metrics_page,
 )
-from keelgap.packets.reload import SettingsWatch
-from keelgap.runtime.lines import LogLines
+from keelgap.packets.reload import SettingsWatcher
+from keelgap.runtime.lines import JsonLog
 from keelgap.runtime.loop import EventLoop
 from keelgap.runtime.pages import serve_pages
 
@@ -45,7 +45,7 @@
 class DecisionLog:
     """Count decisions, and log those that have fields."""
 
-    def __init__(self, lines: LogLines, counters: Counters) -> None:
+    def __init__(self, lines: JsonLog, counters: Counters) -> None:
         """Initialize with the log and the counters of the process."""
         self.lines = lines
         self.counters = counters
@@ -69,7 +69,7 @@
     ) -> None:
         """Create the event loop; the stack closes it."""
         self.loop = EventLoop(stack, clock)
-        self.lines = LogLines(program, instance, self.loop.clock)
+        self.lines = JsonLog(program, instance, self.loop.clock)
         self.counters = Counters()
         self.loop.call_every(_FLUSH_SECONDS, self.lines.flush)
 
@@ -103,7 +103,7 @@
 _SocketsT = TypeVar('_SocketsT')
 
 #: Called with the settings, open sockets, the process and its exit stack.
-MakeServer = Callable[
+ServerFactory = Callable[
     [_SettingsT, _SocketsT, PacketProcess, ExitStack],
     PacketServer,
 ]
@@ -114,7 +114,7 @@
     path: str | None,
     settings_type: type[_SettingsT],
     open_sockets: Callable[[_SettingsT, ExitStack], _SocketsT],
-    load_factory: Callable[[], MakeServer[_SettingsT, _SocketsT]],
+    load_factory: Callable[[], ServerFactory[_SettingsT, _SocketsT]],
 ) -> int:
     """Run a server until it stops the event loop; return the exit status.
 
@@ -122,7 +122,7 @@
     arrive during the import queue in the sockets, so that their senders need
     not retransmit them.
     """
-    ignore_hang_up()
+    ignore_hangup()
     path = path or os.environ.get(SETTINGS_VARIABLE, '')
     try:
         settings = load_settings(path, settings_type)
@@ -136,7 +136,7 @@
             return _exit_on(error)
         process = PacketProcess(program, settings[0].name, stack)
         server = load_factory()(settings, sockets, process, stack)
-        watcher = SettingsWatch(path, settings, process.lines, server.reload)
+        watcher = SettingsWatcher(path, settings, process.lines, server.reload)
         handlers = {
             int(signal.SIGTERM): server.stop,
             int(signal.SIGINT): server.stop,
@@ -155,7 +155,7 @@
     return 0
 
 
-def ignore_hang_up() -> None:
+def ignore_hangup() -> None:
     """Ignore SIGHUP, which may arrive before its handler is installed."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
--- a/packages/keelgap/src/keelgap/packets/refusals.py
+++ b/packages/keelgap/src/keelgap/packets/refusals.py
@@ -13,7 +13,7 @@
 from keelgap.packets.formats import FLOW_KEY_LENGTH
 
 __all__ = (
-    'MAX_REFUSED',
+    'MAX_REFUSED_CALLERS',
     'RefusedCaller',
     'pack_refused',
     'unpack_refused',
@@ -24,7 +24,7 @@
 _MAX_UINT16: Final = 65535
 _MAX_UINT8: Final = 255
 #: Maximum callers per message, which has 1,200 octets then.
-MAX_REFUSED: Final = 80
+MAX_REFUSED_CALLERS: Final = 80
 
 
 class RefusedCaller(NamedTuple):
@@ -52,6 +52,9 @@
 
 def unpack_refused(content: bytes) -> tuple[RefusedCaller, ...]:
     """Decode refused callers; raise MalformedEnvelope if invalid."""
-    if len(content) % _ROW.size or len(content) > MAX_REFUSED * _ROW.size:
+    if (
+        len(content) % _ROW.size
+        or len(content) > MAX_REFUSED_CALLERS * _ROW.size
+    ):
         raise MalformedEnvelope(len(content))
     return tuple(map(RefusedCaller._make, _ROW.iter_unpack(content)))
--- a/packages/keelgap/src/keelgap/packets/reload.py
+++ b/packages/keelgap/src/keelgap/packets/reload.py
@@ -6,10 +6,10 @@
 
 from keelgap.conf import load_settings
 from keelgap.exceptions import KeelgapError
-from keelgap.runtime.lines import LogLines
+from keelgap.runtime.lines import JsonLog
 from keelgap.runtime.loop import EventLoop
 
-__all__ = ('SettingsWatch',)
+__all__ = ('SettingsWatcher',)
 
 #: Interval between checks of the file.  The platform may reuse an address
 #: after 2 s, so a changed service must be applied earlier.
@@ -18,14 +18,14 @@
 _SettingsT = TypeVar('_SettingsT', bound=tuple[Any, ...])
 
 
-class SettingsWatch(Generic[_SettingsT]):
+class SettingsWatcher(Generic[_SettingsT]):
     """Reload settings; an invalid file leaves those in force unchanged."""
 
     def __init__(
         self,
         path: str,
         settings: _SettingsT,
-        lines: LogLines,
+        lines: JsonLog,
         on_change: Callable[[_SettingsT], tuple[str, ...]],
     ) -> None:
         """Call on_change with new settings; it returns the applied names."""
--- a/packages/keelgap/src/keelgap/packets/served.py
+++ b/packages/keelgap/src/keelgap/packets/served.py
@@ -16,23 +16,23 @@
 from xxhash import xxh3_64_intdigest
 
 from keelgap.packets.exceptions import MalformedEnvelope
-from keelgap.packets.octets import unpack_head
+from keelgap.packets.octets import unpack_header
 
 __all__ = (
-    'MAX_SERVED',
+    'MAX_SERVED_HOSTS',
     'ServedHost',
-    'ServedQuestion',
+    'ServedHostsRequest',
     'digest_served',
-    'pack_question',
+    'pack_served_request',
     'pack_served',
-    'unpack_question',
+    'unpack_served_request',
     'unpack_served',
 )
 
 _REQUEST: Final = struct.Struct('!QQ')
 _ROW: Final = struct.Struct('!4sI')
 #: Maximum records per message, which has 1,200 octets then.
-MAX_SERVED: Final = 150
+MAX_SERVED_HOSTS: Final = 150
 
 
 class ServedHost(NamedTuple):
@@ -42,7 +42,7 @@
     service_tag: int
 
 
-class ServedQuestion(NamedTuple):
+class ServedHostsRequest(NamedTuple):
     """Request of a balancer that just started."""
 
     #: Revision of the first catalog of the sender.
@@ -56,14 +56,14 @@
     return xxh3_64_intdigest(pack_served(sorted(rows)))
 
 
-def pack_question(request: ServedQuestion) -> bytes:
+def pack_served_request(request: ServedHostsRequest) -> bytes:
     """Encode a request."""
     return _REQUEST.pack(*request)
 
 
-def unpack_question(content: bytes) -> ServedQuestion:
+def unpack_served_request(content: bytes) -> ServedHostsRequest:
     """Decode a request; raise MalformedEnvelope if invalid."""
-    return ServedQuestion._make(unpack_head(_REQUEST, content))
+    return ServedHostsRequest._make(unpack_header(_REQUEST, content))
 
 
 def pack_served(rows: Iterable[ServedHost]) -> bytes:
@@ -75,7 +75,7 @@
 
 def unpack_served(content: bytes) -> tuple[ServedHost, ...]:
     """Decode served hosts; raise MalformedEnvelope if invalid."""
-    if len(content) % _ROW.size or len(content) > MAX_SERVED * _ROW.size:
+    if len(content) % _ROW.size or len(content) > MAX_SERVED_HOSTS * _ROW.size:
         raise MalformedEnvelope(len(content))
     return tuple(
         ServedHost(socket.inet_ntoa(host), tag)
--- a/packages/keelgap/src/keelgap/runtime/http.py
+++ b/packages/keelgap/src/keelgap/runtime/http.py
@@ -16,21 +16,21 @@
 from keelgap.runtime.loop import EventLoop
 
 __all__ = (
-    'HEAD_END',
-    'HttpAnswer',
-    'LONGEST_BODY',
+    'HEADER_END',
+    'HttpResponse',
+    'MAX_BODY_LENGTH',
     'HttpClient',
-    'MalformedAnswer',
-    'parse_answer',
+    'MalformedResponse',
+    'parse_response',
 )
 
-HEAD_END: Final = b'\r\n\r\n'
+HEADER_END: Final = b'\r\n\r\n'
 _RECEIVE_OCTETS: Final = 262144
 #: Maximum octets of the status line and headers.
 _MAX_HEADER_LENGTH: Final = 16384
 #: Default limit of the body in octets: the catalog of another balancer has
 #: 16 MB at the design size.
-LONGEST_BODY: Final = 16777216
+MAX_BODY_LENGTH: Final = 16777216
 #: TCP keepalive: an idle connection is probed after these seconds and closed
 #: after this number of unanswered probes, so that a pending request fails
 #: within 3 s if the network path is interrupted.
@@ -39,13 +39,13 @@
 _UNACKNOWLEDGED_MILLISECONDS: Final = 2500
 
 
-class MalformedAnswer(KeelgapError):
+class MalformedResponse(KeelgapError):
     """The response is invalid or uses an unsupported feature."""
 
     code = 'malformed_answer'
 
 
-class HttpAnswer(NamedTuple):
+class HttpResponse(NamedTuple):
     """Result of a request."""
 
     #: Status code, or 0 if there was no complete response.
@@ -56,50 +56,50 @@
 
 
 class _ParsedResponse(NamedTuple):
-    answer: HttpAnswer
+    response: HttpResponse
     #: Whether the server closes the connection after the response.
     closes: bool
 
 
-OnResponse = Callable[[HttpAnswer], None]
+OnResponse = Callable[[HttpResponse], None]
 
 
-def parse_answer(
+def parse_response(
     received: bytes,
-    max_body_length: int = LONGEST_BODY,
+    max_body_length: int = MAX_BODY_LENGTH,
 ) -> _ParsedResponse | None:
     """Parse a response; return None while it is incomplete.
 
     Raises MalformedResponse if the response is invalid or its body exceeds
     ``max_body_length`` octets.
     """
-    header_length = received.find(HEAD_END)
+    header_length = received.find(HEADER_END)
     total = len(received)
     if header_length < 0:
         if total > _MAX_HEADER_LENGTH:
-            raise MalformedAnswer(total)
+            raise MalformedResponse(total)
         return None
     lines = received[:header_length].split(b'\r\n')
     status = _parse_status(lines[0])
     headers = _parse_headers(lines[1:])
     length = headers.get(b'content-length', b'')
     if not length.isdigit() or int(length) > max_body_length:
-        raise MalformedAnswer(length)
-    start = header_length + len(HEAD_END)
+        raise MalformedResponse(length)
+    start = header_length + len(HEADER_END)
     end = start + int(length)
     if total < end:
         return None
     if total > end:
-        raise MalformedAnswer(total - end)
+        raise MalformedResponse(total - end)
     closes = headers.get(b'connection', b'').lower() == b'close'
-    return _ParsedResponse(HttpAnswer(status, received[start:]), closes)
+    return _ParsedResponse(HttpResponse(status, received[start:]), closes)
 
 
 def _parse_status(line: bytes) -> int:
     version, _, rest = line.partition(b' ')
     status = rest[:3]
     if not version.startswith(b'HTTP/1.') or not status.isdigit():
-        raise MalformedAnswer(line)
+        raise MalformedResponse(line)
     return int(status)
 
 
@@ -108,7 +108,7 @@
     for line in lines:
         name, colon, text = line.partition(b':')
         if not colon:
-            raise MalformedAnswer(line)
+            raise MalformedResponse(line)
         headers[name.strip().lower()] = text.strip()
     return headers
 
@@ -120,25 +120,25 @@
         self,
         loop: EventLoop,
         address: Address,
-        longest_body: int = LONGEST_BODY,
+        max_body_length: int = MAX_BODY_LENGTH,
     ) -> None:
         """Initialize; the first request opens the connection."""
         self.loop = loop
-        self.longest_body = longest_body
+        self.max_body_length = max_body_length
         self.address = address
         self.sock: socket.socket | None = None
-        self.on_answer: OnResponse | None = None
+        self.on_response: OnResponse | None = None
         self.received = b''
         self.request = b''
         #: Number of requests; lets the timeouts of earlier ones be ignored.
         self.calls = 0
 
-    def get(self, target: str, timeout: float, on_answer: OnResponse) -> None:
+    def get(self, target: str, timeout: float, on_response: OnResponse) -> None:
         """Send a GET request; a pending one is dropped without a callback."""
-        if self.on_answer is not None:
+        if self.on_response is not None:
             self.close()
         self.calls += 1
-        self.on_answer = on_answer
+        self.on_response = on_response
         self.received = b''
         call = self.calls
         self.loop.call_after(timeout, lambda: self._time_out(call))
@@ -150,7 +150,7 @@
 
     def close(self) -> None:
         """Close the connection and drop a pending request."""
-        self.on_answer = None
+        self.on_response = None
         sock = self.sock
         self.sock = None
         if sock is not None:
@@ -197,30 +197,30 @@
             return
         self.received += chunk
         try:
-            parsed = parse_answer(self.received, self.longest_body)
-        except MalformedAnswer as error:
+            parsed = parse_response(self.received, self.max_body_length)
+        except MalformedResponse as error:
             self._fail(error.code)
             return
         if parsed is not None:
             self._finish(parsed)
 
     def _finish(self, parsed: _ParsedResponse) -> None:
-        on_answer = self.on_answer
-        self.on_answer = None
+        on_response = self.on_response
+        self.on_response = None
         self.received = b''
-        if parsed.closes or on_answer is None:
+        if parsed.closes or on_response is None:
             self.close()
-        if on_answer is not None:
-            on_answer(parsed.answer)
+        if on_response is not None:
+            on_response(parsed.response)
 
     def _fail(self, reason: str) -> None:
-        on_answer = self.on_answer
+        on_response = self.on_response
         self.close()
-        if on_answer is not None:
-            on_answer(HttpAnswer(0, b'', reason))
+        if on_response is not None:
+            on_response(HttpResponse(0, b'', reason))
 
     def _time_out(self, call: int) -> None:
-        if call == self.calls and self.on_answer is not None:
+        if call == self.calls and self.on_response is not None:
             self._fail('timeout')
 
 
--- a/packages/keelgap/src/keelgap/runtime/lines.py
+++ b/packages/keelgap/src/keelgap/runtime/lines.py
@@ -14,10 +14,10 @@
 from contextlib import suppress
 from typing import Final
 
-__all__ = ('MAX_NAMED', 'LogLines', 'Write', 'write_to_standard_output')
+__all__ = ('MAX_LISTED', 'JsonLog', 'Write', 'write_to_standard_output')
 
 #: Maximum queued lines; 600 KB with 300 octets per line.
-MAX_WAITING: Final = 2000
+MAX_QUEUED_LINES: Final = 2000
 #: Maximum lines per second for decisions on flows.  A scenario of 34 s
 #: with 250 requests per second stays below this limit; a flood exceeds it.
 LINES_PER_SECOND: Final = 200
@@ -25,7 +25,7 @@
 #: so that no line is truncated.
 _MAX_WRITE_OCTETS: Final = 4096
 #: Maximum items listed in a log line that covers many of them.
-MAX_NAMED: Final = 4
+MAX_LISTED: Final = 4
 _STDOUT_FD: Final = 1
 
 Write = Callable[[bytes], int]
@@ -39,7 +39,7 @@
         return 0
 
 
-class LogLines:
+class JsonLog:
     """Log of one process."""
 
     def __init__(
@@ -54,7 +54,7 @@
         self.instance = instance
         self.clock = clock
         self.write = write
-        self.waiting: deque[bytes] = deque()
+        self.queued_lines: deque[bytes] = deque()
         self.unwritten = b''
         #: Number of lines dropped since the last report, by event.
         self.dropped: dict[str, int] = {}
@@ -75,7 +75,7 @@
 
     def tell(self, event: str, **fields: object) -> None:
         """Log a rare event, for example a start, a stop or a state change."""
-        if len(self.waiting) >= MAX_WAITING:
+        if len(self.queued_lines) >= MAX_QUEUED_LINES:
             self._drop(event)
             return
         line = {
@@ -87,11 +87,11 @@
             **fields,
         }
         encoded = json.dumps(line, default=str)
-        self.waiting.append(f'{encoded}\n'.encode())
+        self.queued_lines.append(f'{encoded}\n'.encode())
 
     def flush(self) -> None:
         """Write queued lines until the pipe is full."""
-        if self.dropped and len(self.waiting) < MAX_WAITING:
+        if self.dropped and len(self.queued_lines) < MAX_QUEUED_LINES:
             dropped = self.dropped
             self.dropped = {}
             self.tell(
@@ -99,7 +99,7 @@
                 count=sum(dropped.values()),
                 events=dropped,
             )
-        while self.waiting or self.unwritten:
+        while self.queued_lines or self.unwritten:
             chunk = self.unwritten or self._take_chunk()
             written = 0
             with suppress(OSError):
@@ -112,12 +112,13 @@
         self.dropped[event] = self.dropped.get(event, 0) + 1
 
     def _take_chunk(self) -> bytes:
-        lines = [self.waiting.popleft()]
+        lines = [self.queued_lines.popleft()]
         length = len(lines[0])
         while (
-            self.waiting and length + len(self.waiting[0]) <= _MAX_WRITE_OCTETS
+            self.queued_lines
+            and length + len(self.queued_lines[0]) <= _MAX_WRITE_OCTETS
         ):
-            line = self.waiting.popleft()
+            line = self.queued_lines.popleft()
             length += len(line)
             lines.append(line)
         return b''.join(lines)
--- a/packages/keelgap/src/keelgap/runtime/pages.py
+++ b/packages/keelgap/src/keelgap/runtime/pages.py
@@ -11,7 +11,7 @@
 
 from keelgap.addresses import Address
 from keelgap.exceptions import PortInUse
-from keelgap.runtime.http import HEAD_END
+from keelgap.runtime.http import HEADER_END
 from keelgap.runtime.loop import EventLoop
 
 __all__ = ('Page', 'Pages', 'make_ready_page', 'serve_pages')
@@ -133,8 +133,8 @@
         if not chunk or len(self.received) > _MAX_HEADER_LENGTH:
             self._close()
             return
-        while HEAD_END in self.received:
-            header, _, rest = self.received.partition(HEAD_END)
+        while HEADER_END in self.received:
+            header, _, rest = self.received.partition(HEADER_END)
             self.received = rest
             self.unsent += _render(self._choose_page(header))
         if self.unsent:
--- a/tests/keelgap/test_builder.py
+++ b/tests/keelgap/test_builder.py
@@ -12,7 +12,11 @@
     RouteSet,
     ServiceLimits,
 )
-from keelgap.catalog.starts import MAX_ENDED, REFUSED_REPORTS, UpstreamTable
+from keelgap.catalog.starts import (
+    MAX_REFUSED_REPORTS,
+    MAX_REMEMBERED_IDS,
+    UpstreamTable,
+)
 
 
 class Unreadable(EntryRefused):
@@ -234,7 +238,7 @@
     def test_a_start_whose_clock_stepped_back_is_taken(self) -> None:
         """It goes on reporting, which a former start does not."""
         self.write('up/1', b'board 200')
-        for _ in range(REFUSED_REPORTS):
+        for _ in range(MAX_REFUSED_REPORTS):
             catalog = self.write('up/1', b'board 100')
             self.assertEqual(catalog.upstreams['1'].started, 200)
         catalog = self.write('up/1', b'board 100')
@@ -244,8 +248,8 @@
         """The oldest are forgotten first; those with an entry never."""
         table = UpstreamTable()
         table.put(make_upstream('stays', 1))
-        for number in range(MAX_ENDED + 10):
+        for number in range(MAX_REMEMBERED_IDS + 10):
             table.put(make_upstream(str(number), 1))
             table.remove(str(number))
-        self.assertEqual(len(table.started), MAX_ENDED + 1)
+        self.assertEqual(len(table.started), MAX_REMEMBERED_IDS + 1)
         self.assertIn('stays', table.started)
--- a/tests/keelgap/test_dissemination.py
+++ b/tests/keelgap/test_dissemination.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from keelgap.addresses import Address
-from keelgap.dissemination.defaults import READERS
+from keelgap.dissemination.defaults import READER_COUNT
 from keelgap.dissemination.state import DocumentNames
 from keelgap_standins.gossip import (
     INSTANCES_KEY,
@@ -39,7 +39,7 @@
         spent = net.run_until(lambda: not net.count_behind(2), 20)
         self.assertLess(spent, 1)
         reading = sum(one.state.reading for one in net.processes.values())
-        self.assertEqual(reading, 3 * READERS)
+        self.assertEqual(reading, 3 * READER_COUNT)
         self.check_monotone(net)
 
     def test_loss_is_repaired(self) -> None:
--- a/tests/keelgap/test_features.py
+++ b/tests/keelgap/test_features.py
@@ -9,11 +9,11 @@
 from keelgap.exceptions import ImproperlyConfigured
 from keelgap.packets.features import (
     NO_FEATURES,
-    Choice,
+    DeploymentTerm,
+    FeatureMode,
     Features,
     FeatureSettings,
-    Term,
-    choose_features,
+    resolve_features,
 )
 from keelgap_platform.adapter import read_terms
 
@@ -27,29 +27,35 @@
 
     def test_nothing_is_called_for_without_terms(self) -> None:
         """A deployment that states none is served as before."""
-        self.assertEqual(choose_features(FeatureSettings(), set()), NO_FEATURES)
+        self.assertEqual(
+            resolve_features(FeatureSettings(), set()), NO_FEATURES
+        )
 
     def test_health_calls_for_all_but_admission(self) -> None:
         """Overload alone calls for refusals."""
-        chosen = choose_features(FeatureSettings(), {Term.UPSTREAM_HEALTH})
+        chosen = resolve_features(
+            FeatureSettings(), {DeploymentTerm.UPSTREAM_HEALTH}
+        )
         self.assertEqual(chosen, Features(True, True, True, admission=False))
 
     def test_overload_calls_for_admission_alone(self) -> None:
         """What upstreams say of themselves is another matter."""
-        settings = FeatureSettings(admission=Choice.AUTO)
-        chosen = choose_features(settings, {Term.OVERLOAD})
+        settings = FeatureSettings(admission=FeatureMode.AUTO)
+        chosen = resolve_features(settings, {DeploymentTerm.OVERLOAD})
         self.assertEqual(chosen, Features(admission=True))
 
     def test_early_refusal_is_off_unless_asked_for(self) -> None:
         """Whatever was agreed on."""
         self.assertFalse(
-            choose_features(FeatureSettings(), set(Term)).admission
+            resolve_features(FeatureSettings(), set(DeploymentTerm)).admission
         )
 
     def test_settings_override_terms(self) -> None:
         """Operators can turn each decision on and off."""
-        settings = FeatureSettings(ejection=Choice.OFF, admission=Choice.ON)
-        chosen = choose_features(settings, {Term.UPSTREAM_HEALTH})
+        settings = FeatureSettings(
+            ejection=FeatureMode.OFF, admission=FeatureMode.ON
+        )
+        chosen = resolve_features(settings, {DeploymentTerm.UPSTREAM_HEALTH})
         self.assertFalse(chosen.ejection)
         self.assertTrue(chosen.admission)
         self.assertTrue(chosen.placement)
@@ -59,7 +65,7 @@
         self.assertEqual(read_terms(''), frozenset())
         self.assertEqual(
             read_terms('base, health,pressure,other'),
-            frozenset(Term),
+            frozenset(DeploymentTerm),
         )
 
 
@@ -76,9 +82,9 @@
     def test_choices_are_read(self) -> None:
         """Each of the three words is one."""
         loaded = self.load('ejection = off\nplacement = on\nterms = a,b\n')
-        self.assertEqual(loaded.ejection, Choice.OFF)
-        self.assertEqual(loaded.placement, Choice.ON)
-        self.assertEqual(loaded.scheduling, Choice.AUTO)
+        self.assertEqual(loaded.ejection, FeatureMode.OFF)
+        self.assertEqual(loaded.placement, FeatureMode.ON)
+        self.assertEqual(loaded.scheduling, FeatureMode.AUTO)
         self.assertEqual(loaded.terms, 'a,b')
 
     def test_another_word_is_a_fault(self) -> None:
--- a/tests/keelgap/test_follower.py
+++ b/tests/keelgap/test_follower.py
@@ -13,7 +13,7 @@
 )
 from keelgap.catalog.effects import (
     EntriesChanged,
-    FetchSnapshot,
+    FetchCatalog,
     FollowerEffect,
     ReadFirstPageAgain,
     ReadPage,
@@ -23,7 +23,7 @@
 )
 from keelgap.catalog.events import (
     CallFailed,
-    CatchUpWanted,
+    CatchUpRequested,
     ChangesRead,
     DeltaReceived,
     EntryChange,
@@ -31,7 +31,7 @@
     HistoryLost,
     PageRead,
     PeerAhead,
-    ReadingDecided,
+    ReaderRoleDecided,
     SnapshotReceived,
     TimerFired,
 )
@@ -83,7 +83,7 @@
         effects = self.take(PageRead(0, {'b': make_entry(9)}, 9, ''))
         self.assertEqual(
             effects[-1],
-            WatchChanges(0, 5, defaults.WATCH_SECONDS),
+            WatchChanges(0, 5, defaults.WATCH_WAIT_SECONDS),
         )
         # 'a' went between the pages.
         gone = EntryChange('a', 7, None)
@@ -99,10 +99,12 @@
         watch = self.take(ChangesRead(0, (change,), 6))[-1]
         self.assertEqual(
             watch,
-            WatchChanges(defaults.GATHER_SECONDS, 6, defaults.WATCH_SECONDS),
+            WatchChanges(
+                defaults.BATCH_PAUSE_SECONDS, 6, defaults.WATCH_WAIT_SECONDS
+            ),
         )
         watch = self.take(ChangesRead(0, (), 8))[-1]
-        self.assertEqual(watch, WatchChanges(0, 8, defaults.WATCH_SECONDS))
+        self.assertEqual(watch, WatchChanges(0, 8, defaults.WATCH_WAIT_SECONDS))
 
     def test_pause_for_gathering_ends_when_a_verdict_waits(self) -> None:
         """Once; a call under way is not made again."""
@@ -110,10 +112,10 @@
         change = EntryChange('a', 6, make_entry(6))
         self.take(ChangesRead(1, (change,), 6))
         self.assertEqual(
-            self.take(CatchUpWanted(1.1)),
-            (WatchChanges(0, 6, defaults.WATCH_SECONDS),),
+            self.take(CatchUpRequested(1.1)),
+            (WatchChanges(0, 6, defaults.WATCH_WAIT_SECONDS),),
         )
-        self.assertEqual(self.take(CatchUpWanted(1.2)), ())
+        self.assertEqual(self.take(CatchUpRequested(1.2)), ())
 
     def test_changes_that_cannot_be_read_are_read_in_pages(self) -> None:
         """Other writers' entries made an answer longer than is accepted.
@@ -159,11 +161,11 @@
             WatchChanges(
                 defaults.RETRY_FIRST_SECONDS,
                 5,
-                defaults.PROBE_SECONDS,
+                defaults.PROBE_WAIT_SECONDS,
             ),
         )
         watch = self.take(ChangesRead(1.2, (), 5))[-1]
-        self.assertEqual(watch, WatchChanges(0, 5, defaults.WATCH_SECONDS))
+        self.assertEqual(watch, WatchChanges(0, 5, defaults.WATCH_WAIT_SECONDS))
 
     def test_silent_store_is_asked_again_for_the_first_page(self) -> None:
         """A call sent into the silence is never answered.
@@ -171,7 +173,7 @@
         Found on fjordflis-tiles scale-2: the store was back 0.4 s before the
         first reading timed out, and nobody was served meanwhile.
         """
-        pause = defaults.FIRST_PAGE_SECONDS
+        pause = defaults.FIRST_PAGE_TIMEOUT_SECONDS
         self.assertEqual(self.take(TimerFired(pause / 2)), ())
         again = (ReadFirstPageAgain(),)
         self.assertEqual(self.take(TimerFired(pause)), again)
@@ -182,9 +184,9 @@
 
     def test_many_processes_ask_a_silent_store_as_often_as_few(self) -> None:
         """The first that is answered tells the others."""
-        processes = 4 * defaults.READERS
-        self.take(ReadingDecided(0, reads=True, processes=processes))
-        pause = 4 * defaults.FIRST_PAGE_SECONDS
+        processes = 4 * defaults.READER_COUNT
+        self.take(ReaderRoleDecided(0, is_reader=True, processes=processes))
+        pause = 4 * defaults.FIRST_PAGE_TIMEOUT_SECONDS
         self.assertEqual(self.take(TimerFired(pause * 0.9)), ())
         again = (ReadFirstPageAgain(),)
         self.assertEqual(self.take(TimerFired(pause)), again)
@@ -196,12 +198,12 @@
             reading = self.take(CallFailed(number, 'status_503'))[-1]
             pauses.append(reading.delay)  # type: ignore[union-attr]
         self.assertEqual(pauses[0], defaults.RETRY_FIRST_SECONDS)
-        self.assertEqual(pauses[-1], defaults.FIRST_RETRY_MAX_SECONDS)
-        processes = 5 * defaults.READERS
-        self.take(ReadingDecided(5, reads=True, processes=processes))
+        self.assertEqual(pauses[-1], defaults.STARTUP_RETRY_MAX_SECONDS)
+        processes = 5 * defaults.READER_COUNT
+        self.take(ReaderRoleDecided(5, is_reader=True, processes=processes))
         self.take(CallFailed(5, 'status_503'))
         later = self.take(CallFailed(6, 'status_503'))[-1]
-        longest = 5 * defaults.FIRST_RETRY_MAX_SECONDS
+        longest = 5 * defaults.STARTUP_RETRY_MAX_SECONDS
         self.assertEqual(later, ReadPage(longest, ''))
         # The planned reading is not doubled by another.
         self.assertEqual(self.take(TimerFired(6 + longest)), ())
@@ -298,8 +300,8 @@
     def test_reading_without_history_is_told(self) -> None:
         """An entry may have come and gone, if there was time for that."""
         for pause, has_gap in (
-            (defaults.ENTRY_LIFE_SECONDS - 0.1, False),
-            (defaults.ENTRY_LIFE_SECONDS, True),
+            (defaults.MIN_ENTRY_LIFETIME_SECONDS - 0.1, False),
+            (defaults.MIN_ENTRY_LIFETIME_SECONDS, True),
         ):
             with self.subTest(pause):
                 self.setUp()
@@ -326,24 +328,26 @@
         self.take(CallFailed(0.1, 'timeout'))
         self.assertEqual(
             self.take(PeerAhead(0.2, PEER, 6)),
-            (FetchSnapshot(PEER),),
+            (FetchCatalog(PEER),),
         )
 
     def test_silent_watch_is_not_trusted_for_long(self) -> None:
         """A path that was cut looks like a store without news."""
         self.read_all(0, 5, 'a')
         self.take(PeerAhead(10, PEER, 6))
-        before = self.take(TimerFired(10 + defaults.BEHIND_SECONDS / 2))
+        before = self.take(
+            TimerFired(10 + defaults.BEHIND_TOLERANCE_SECONDS / 2)
+        )
         self.assertEqual(before, ())
-        after = self.take(TimerFired(10 + defaults.BEHIND_SECONDS))
-        self.assertEqual(after, (FetchSnapshot(PEER),))
+        after = self.take(TimerFired(10 + defaults.BEHIND_TOLERANCE_SECONDS))
+        self.assertEqual(after, (FetchCatalog(PEER),))
 
     def test_joiner_takes_a_peers_catalog(self) -> None:
         """While the store refuses it."""
         self.take(CallFailed(0, 'status_503'))
         self.assertEqual(
             self.take(PeerAhead(0, PEER, 6)),
-            (FetchSnapshot(PEER),),
+            (FetchCatalog(PEER),),
         )
         entries = {'a': make_entry(6)}
         effects = self.take(SnapshotReceived(0.1, entries, 6))
@@ -353,13 +357,13 @@
     def test_process_that_follows_makes_no_call(self) -> None:
         """The call under way ends, and others tell the news at once."""
         self.read_all(0, 5, 'a')
-        self.take(ReadingDecided(0.5, reads=False, processes=9))
+        self.take(ReaderRoleDecided(0.5, is_reader=False, processes=9))
         change = EntryChange('a', 6, make_entry(6))
         effects = self.take(ChangesRead(1, (change,), 6))
         self.assertEqual(effects, (EntriesChanged(('a',), 6, 6, 'store'),))
         self.assertEqual(
             self.take(PeerAhead(2, PEER, 7)),
-            (FetchSnapshot(PEER),),
+            (FetchCatalog(PEER),),
         )
         change = EntryChange('a', 7, make_entry(7))
         effects = self.take(DeltaReceived(2, 6, (change,), 7))
@@ -368,24 +372,24 @@
     def test_process_that_reads_again_probes_the_store(self) -> None:
         """Its connection may have gone silent meanwhile."""
         self.read_all(0, 5, 'a')
-        self.take(ReadingDecided(0, reads=False, processes=9))
+        self.take(ReaderRoleDecided(0, is_reader=False, processes=9))
         self.assertEqual(self.take(CallFailed(0.1, 'timeout')), ())
         self.assertIsNone(self.state.failing_since)
-        effects = self.take(ReadingDecided(1, reads=True, processes=9))
+        effects = self.take(ReaderRoleDecided(1, is_reader=True, processes=9))
         self.assertEqual(
             effects,
-            (WatchChanges(0, 5, defaults.PROBE_SECONDS),),
+            (WatchChanges(0, 5, defaults.PROBE_WAIT_SECONDS),),
         )
         self.assertEqual(
-            self.take(ReadingDecided(2, reads=True, processes=9)),
+            self.take(ReaderRoleDecided(2, is_reader=True, processes=9)),
             (),
         )
 
     def test_many_that_find_the_store_away_call_as_often_as_few(self) -> None:
         """Each call is priced, refused ones too."""
         self.read_all(0, 5, 'a')
-        processes = 5 * defaults.READERS
-        self.take(ReadingDecided(0, reads=True, processes=processes))
+        processes = 5 * defaults.READER_COUNT
+        self.take(ReaderRoleDecided(0, is_reader=True, processes=processes))
         for number in range(9):
             watch = self.take(CallFailed(number, 'status_503'))[-1]
         self.assertIsInstance(watch, WatchChanges)
--- a/tests/keelgap/test_readers.py
+++ b/tests/keelgap/test_readers.py
@@ -4,7 +4,7 @@
 from unittest import TestCase
 
 from keelgap.catalog import defaults
-from keelgap.catalog.readers import ReaderClaim, Readers
+from keelgap.catalog.readers import ReaderClaim, ReaderElection
 
 #: Pause between messages, as balancers make it.
 ROUND = 0.5
@@ -19,7 +19,7 @@
         self.loss = loss
         self.now: float = 0
         hosts = [f'10.0.0.{number}' for number in range(count)]
-        self.readers = {host: Readers(host) for host in hosts}
+        self.readers = {host: ReaderElection(host) for host in hosts}
         self.heard = {host: dict.fromkeys(hosts, self.now) for host in hosts}
         #: Processes that do not reach the store.
         self.cut: set[str] = set()
@@ -67,11 +67,11 @@
                 continue
             self.heard[other][host] = self.now
             for claim in claims:
-                self.readers[other].note_claim(claim, self.now)
+                self.readers[other].record_claim(claim, self.now)
             if reads:
-                self.readers[other].note_claim(ReaderClaim(host, 0), self.now)
+                self.readers[other].record_claim(ReaderClaim(host, 0), self.now)
             else:
-                self.readers[other].note_refusal(host, self.now)
+                self.readers[other].record_withdrawal(host, self.now)
 
 
 class ReaderTests(TestCase):
@@ -83,7 +83,7 @@
             fleet = Fleet(count, seed=count)
             counts = fleet.run(10)
             self.assertEqual(
-                set(counts[2:]), {min(count, defaults.READERS)}, counts
+                set(counts[2:]), {min(count, defaults.READER_COUNT)}, counts
             )
 
     def test_next_in_rank_take_over(self) -> None:
@@ -98,7 +98,7 @@
             counts = fleet.run(10)
             since = next(number for number, count in enumerate(counts) if count)
             self.assertLessEqual((since + 1) * ROUND, 3.5)
-            self.assertEqual(counts[-1], defaults.READERS)
+            self.assertEqual(counts[-1], defaults.READER_COUNT)
 
     def test_reader_without_the_store_is_replaced(self) -> None:
         """As soon as it says so; afterwards as many read again.
@@ -109,14 +109,14 @@
         for seed in range(40):
             fleet = Fleet(15, seed, loss=0.05)
             fleet.run(5)
-            cut = 2 if seed % 2 else defaults.READERS
+            cut = 2 if seed % 2 else defaults.READER_COUNT
             fleet.cut = set(fleet.list_reading()[:cut])
             counts = fleet.run(8)
             late = 0 if cut == 2 else 3
             self.assertGreaterEqual(min(counts[late:]), 1)
-            self.assertGreaterEqual(counts[-1], defaults.READERS)
+            self.assertGreaterEqual(counts[-1], defaults.READER_COUNT)
             fleet.cut = set()
-            self.assertLessEqual(fleet.run(8)[-1], defaults.READERS + 1)
+            self.assertLessEqual(fleet.run(8)[-1], defaults.READER_COUNT + 1)
 
     def test_lost_messages_end_no_reading(self) -> None:
         """One in ten, for a minute."""
@@ -124,15 +124,15 @@
             fleet = Fleet(21, seed, loss=0.1)
             fleet.run(3)
             counts = fleet.run(60)
-            self.assertGreaterEqual(min(counts), defaults.READERS - 1)
-            self.assertLessEqual(max(counts), defaults.READERS + 3)
+            self.assertGreaterEqual(min(counts), defaults.READER_COUNT - 1)
+            self.assertLessEqual(max(counts), defaults.READER_COUNT + 3)
 
     def test_older_news_changes_nothing(self) -> None:
         """A claim that went round does not make a reader younger."""
-        readers = Readers('me')
-        readers.note_claim(ReaderClaim('a', 0), 10)
-        readers.note_claim(ReaderClaim('a', 1.5), 10.1)
+        readers = ReaderElection('me')
+        readers.record_claim(ReaderClaim('a', 0), 10)
+        readers.record_claim(ReaderClaim('a', 1.5), 10.1)
         self.assertEqual(readers.make_claims(10.1)[0].age, 10.1 - 10)
-        readers.note_claim(ReaderClaim('me', 0), 10)
+        readers.record_claim(ReaderClaim('me', 0), 10)
         self.assertEqual(readers.list_fresh(10.2), ['a'])
         self.assertEqual(readers.list_fresh(12), [])
--- a/tests/keelgap/test_runtime.py
+++ b/tests/keelgap/test_runtime.py
@@ -13,12 +13,12 @@
 from keelgap.addresses import Address
 from keelgap.runtime import lines as lines_module
 from keelgap.runtime.http import (
-    HttpAnswer,
     HttpClient,
-    MalformedAnswer,
-    parse_answer,
+    HttpResponse,
+    MalformedResponse,
+    parse_response,
 )
-from keelgap.runtime.lines import LogLines
+from keelgap.runtime.lines import JsonLog
 from keelgap.runtime.loop import EventLoop
 from keelgap.runtime.pages import Page, serve_pages
 
@@ -90,7 +90,7 @@
         self.written: list[bytes] = []
         self.room = 10**9
         self.clock = PausedClock()
-        self.lines = LogLines('keelgap', 'one', self.clock, self.write)
+        self.lines = JsonLog('keelgap', 'one', self.clock, self.write)
 
     def write(self, octets: bytes) -> int:
         """Take as much as there is room for."""
@@ -116,7 +116,7 @@
     def test_stuck_reader_costs_lines_and_never_time(self) -> None:
         """Lines beyond the queue are counted, and the count is told."""
         self.room = 10
-        for number in range(lines_module.MAX_WAITING + 5):
+        for number in range(lines_module.MAX_QUEUED_LINES + 5):
             self.lines.tell('x', number=number)
         self.lines.flush()
         self.assertEqual(len(b''.join(self.written)), 10)
@@ -126,7 +126,7 @@
         self.lines.flush()
         self.assertEqual(self.read()[-1]['event'], 'log_lines_dropped')
         self.assertEqual(self.read()[-1]['count'], 5)
-        self.assertEqual(len(self.read()), lines_module.MAX_WAITING + 1)
+        self.assertEqual(len(self.read()), lines_module.MAX_QUEUED_LINES + 1)
 
     def test_what_was_dropped_is_told_by_event(self) -> None:
         """The second after an outage is the one that is asked about.
@@ -150,13 +150,13 @@
         for _ in range(lines_module.LINES_PER_SECOND * 3):
             self.lines.decide('reset')
         self.assertEqual(
-            len(self.lines.waiting),
+            len(self.lines.queued_lines),
             lines_module.LINES_PER_SECOND,
         )
         self.clock.now += 1
         self.lines.decide('reset')
         self.assertEqual(
-            len(self.lines.waiting),
+            len(self.lines.queued_lines),
             lines_module.LINES_PER_SECOND + 1,
         )
 
@@ -174,13 +174,13 @@
             self.address = Address(*probe.getsockname())
         self.client = HttpClient(self.loop, self.address)
         self.stack.callback(self.client.close)
-        self.answers: list[HttpAnswer] = []
+        self.answers: list[HttpResponse] = []
 
-    def call(self, target: str, timeout: float = 5) -> HttpAnswer:
+    def call(self, target: str, timeout: float = 5) -> HttpResponse:
         """Call and wait for what comes of it."""
 
-        def take(answer: HttpAnswer) -> None:
-            self.answers.append(answer)
+        def take(response: HttpResponse) -> None:
+            self.answers.append(response)
             self.loop.stop()
 
         self.loop.stopped = False
@@ -193,35 +193,35 @@
         body = b'x' * 3_000_000
         pages = {'/a': lambda query: Page(200, 'text/plain', body)}
         serve_pages(self.loop, self.address, pages, self.stack)
-        self.assertEqual(self.call('/a?b=1'), HttpAnswer(200, body))
+        self.assertEqual(self.call('/a?b=1'), HttpResponse(200, body))
         sock = self.client.sock
         self.assertEqual(self.call('/c').status, 404)
         self.assertIs(self.client.sock, sock)
 
     def test_body_over_the_callers_bound_fails_the_call(self) -> None:
         """Before any of it is kept."""
-        self.client.longest_body = 3
+        self.client.max_body_length = 3
         pages = {
             '/three': lambda query: Page(200, 'text/plain', b'abc'),
             '/four': lambda query: Page(200, 'text/plain', b'abcd'),
         }
         serve_pages(self.loop, self.address, pages, self.stack)
-        self.assertEqual(self.call('/three'), HttpAnswer(200, b'abc'))
-        self.assertEqual(self.call('/four').failure, MalformedAnswer.code)
+        self.assertEqual(self.call('/three'), HttpResponse(200, b'abc'))
+        self.assertEqual(self.call('/four').failure, MalformedResponse.code)
 
     def test_refused_connection_fails_the_call(self) -> None:
         """The reason says which error it was."""
-        answer = self.call('/a')
-        self.assertEqual(answer.status, 0)
-        self.assertEqual(answer.failure, 'ConnectionRefusedError')
+        response = self.call('/a')
+        self.assertEqual(response.status, 0)
+        self.assertEqual(response.failure, 'ConnectionRefusedError')
 
     def test_silent_server_fails_the_call_at_its_time(self) -> None:
         """And the next call gets a connection of its own."""
         with socket.socket() as server:
             server.bind(self.address)
             server.listen()
-            answer = self.call('/a', timeout=0.05)
-        self.assertEqual(answer.failure, 'timeout')
+            response = self.call('/a', timeout=0.05)
+        self.assertEqual(response.failure, 'timeout')
         self.assertIsNone(self.client.sock)
 
     @settings(derandomize=True, deadline=None)
@@ -229,10 +229,10 @@
     def test_odd_octets_are_no_answer(self, octets: bytes) -> None:
         """They are refused by type, or more is awaited."""
         try:
-            parsed = parse_answer(octets)
-        except MalformedAnswer:
+            parsed = parse_response(octets)
+        except MalformedResponse:
             return
-        self.assertTrue(parsed is None or parsed.answer.status >= 0)
+        self.assertTrue(parsed is None or parsed.response.status >= 0)
 
     def test_answer_is_taken_only_when_whole(self) -> None:
         """Every cut of it waits for the rest."""
@@ -241,13 +241,13 @@
             b'Connection: close\r\n\r\nab'
         )
         for end in range(len(whole)):
-            self.assertIsNone(parse_answer(whole[:end]))
-        parsed = parse_answer(whole)
+            self.assertIsNone(parse_response(whole[:end]))
+        parsed = parse_response(whole)
         self.assertIsNotNone(parsed)
         if parsed is not None:
-            self.assertEqual(parsed.answer, HttpAnswer(200, b'ab'))
+            self.assertEqual(parsed.response, HttpResponse(200, b'ab'))
             self.assertTrue(parsed.closes)
-        with self.assertRaises(MalformedAnswer):
-            parse_answer(whole + b'c')
-        with self.assertRaises(MalformedAnswer):
-            parse_answer(b'HTTP/1.1 200 OK\r\n\r\n')
+        with self.assertRaises(MalformedResponse):
+            parse_response(whole + b'c')
+        with self.assertRaises(MalformedResponse):
+            parse_response(b'HTTP/1.1 200 OK\r\n\r\n')
--- a/tests/packets/building.py
+++ b/tests/packets/building.py
@@ -10,7 +10,7 @@
     PacketRoute,
     PacketUpstream,
     RouteSet,
-    Share,
+    TrafficShare,
 )
 from keelgap_platform.layout import make_packet_format
 
@@ -32,8 +32,8 @@
 FORMAT = make_packet_format()
 #: Flags as they are on the wire.
 SYN, ACK, FIN, RST, BOUNCED = 2, 128, 4, 64, 1
-BOARD = PacketRoute('r-board', '198.18.0.1', 443, (Share('board', 1),))
-PROOF = PacketRoute('r-proof', '198.18.0.2', 443, (Share('proof', 1),))
+BOARD = PacketRoute('r-board', '198.18.0.1', 443, (TrafficShare('board', 1),))
+PROOF = PacketRoute('r-proof', '198.18.0.2', 443, (TrafficShare('proof', 1),))
 _HEAD = struct.Struct('<HH4sH4s4sIIB3s4s')
 
 
--- a/tests/packets/ejection_world.py
+++ b/tests/packets/ejection_world.py
@@ -192,18 +192,20 @@
                 self._run_agent(host, agent_events.TimerFired(self.now))
             self._deliver()
 
-    def ask(self, route: PacketRoute = WRITE, copies: int = 0) -> str:
+    def ask(self, route: PacketRoute = WRITE, retransmissions: int = 0) -> str:
         """Send one request on a flow of its own; return how it ended."""
-        flow = self.open(route, copies)
+        flow = self.open(route, retransmissions)
         return self.send_request(flow)
 
-    def open(self, route: PacketRoute = WRITE, copies: int = 0) -> FlowName:
+    def open(
+        self, route: PacketRoute = WRITE, retransmissions: int = 0
+    ) -> FlowName:
         """Send an opening packet, and copies of it."""
         flow = FlowName('100.64.0.7', self.port, route)
         self.port += 1
         hosts = sorted(self.balancers)
         host = hosts[self.port % len(hosts)]
-        for copy in range(copies + 1):
+        for copy in range(retransmissions + 1):
             self.send(host, make_packet(flow, SYN, ack=copy))
         return flow
 
--- a/tests/packets/machine.py
+++ b/tests/packets/machine.py
@@ -269,8 +269,8 @@
         self._speak_on_all_flows(BALANCERS[0])
         self._put_on_list(row)
 
-    @rule(number=st.sampled_from(HOSTS), copies=st.integers(1, 4))
-    def wait_for_entries(self, number: int, copies: int) -> None:
+    @rule(number=st.sampled_from(HOSTS), retransmissions=st.integers(1, 4))
+    def wait_for_entries(self, number: int, retransmissions: int) -> None:
         """Callers repeat their packets until the entry must be back."""
         self.deliver_all()
         away = balancer_events.StoreSeen(self.now, 0, 0, reaches_store=False)
@@ -281,7 +281,7 @@
         self.restart_balancer(BALANCERS[0])
         for copy, seconds in enumerate((0.2, 0.4, 0.8, 1.0), 1):
             self._speak_on_all_flows(BALANCERS[0])
-            if copy == copies:
+            if copy == retransmissions:
                 self._put_on_list(row)
             self.advance(seconds)
         self.deliver_all()
@@ -359,14 +359,14 @@
     @rule(
         service=st.sampled_from(('board', 'proof')),
         host=st.sampled_from(BALANCERS),
-        copies=st.integers(0, 2),
+        retransmissions=st.integers(0, 2),
     )
-    def open(self, service: str, host: str, copies: int) -> None:
+    def open(self, service: str, host: str, retransmissions: int) -> None:
         """Send an opening packet, and perhaps copies of it."""
         flow = FlowName('100.64.0.7', self.next_port, ROUTES[service])
         self.next_port += 1
         self.flows[flow.key] = flow
-        for copy in range(copies + 1):
+        for copy in range(retransmissions + 1):
             packet = make_packet(flow, SYN, ack=copy)
             self._send(host, packet)
 
@@ -491,8 +491,8 @@
         flow = self.flows.get(key)
         if flow is not None and datagram[26] & SYN:
             clean = FORMAT.without_bounce(datagram)
-            copies = FORMAT.copies(datagram)
-            sent = make_packet(flow, SYN, ack=copies)
+            retransmissions = FORMAT.retransmissions(datagram)
+            sent = make_packet(flow, SYN, ack=retransmissions)
             assert clean == sent, 'changed on its way'  # noqa: S101
 
     # How the world works.
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -10,7 +10,7 @@
 )
 from keelgap.packets.features import Features
 from keelgap.packets.refusals import (
-    MAX_REFUSED,
+    MAX_REFUSED_CALLERS,
     RefusedCaller,
     pack_refused,
     unpack_refused,
@@ -36,7 +36,7 @@
 )
 from tests.packets.test_balancer import FLOW, BalancerTestCase
 
-ROUTE = BOARD._replace(aim_seconds=0.2, timeout_seconds=2.5)
+ROUTE = BOARD._replace(target_seconds=0.2, timeout_seconds=2.5)
 ROOM_MS = 400
 #: Reports of an upstream whose answers come after about a second.
 FULL = LoadReport(busy=30, flows=30, answer_ms=100, closed=False)
@@ -247,7 +247,9 @@
 
     def test_longest_message_fits_into_a_datagram(self) -> None:
         """More callers wait for the next one."""
-        rows = [RefusedCaller(FLOW.key, 10, 1) for _ in range(MAX_REFUSED)]
+        rows = [
+            RefusedCaller(FLOW.key, 10, 1) for _ in range(MAX_REFUSED_CALLERS)
+        ]
         self.assertLessEqual(len(pack_refused(rows)), 1200)
         self.assertEqual(unpack_refused(pack_refused(rows)), tuple(rows))
 
--- a/tests/packets/test_after_outage.py
+++ b/tests/packets/test_after_outage.py
@@ -3,8 +3,8 @@
 from typing import Any
 
 from keelgap.packets.envelopes import (
-    JUST_BEGUN,
     NO_STAMP,
+    UNKNOWN_WAIT,
     CallerWait,
     Envelope,
     EnvelopeKind,
@@ -12,7 +12,7 @@
     pack_envelope,
     unpack_envelope,
 )
-from keelgap.packets.openings import OPENING_SECONDS
+from keelgap.packets.openings import OPEN_TIMEOUT_SECONDS
 from keelgap_agent.packets import defaults as agent_defaults
 from keelgap_agent.packets.effects import SendToUpstream
 from keelgap_balancer.packets import defaults
@@ -37,7 +37,7 @@
 from tests.packets.test_balancer import BalancerTestCase
 
 #: The board as callers know it who wait for 2.5 s at most.
-PATIENT_BOARD = BOARD._replace(aim_seconds=0.2, timeout_seconds=2.5)
+PATIENT_BOARD = BOARD._replace(target_seconds=0.2, timeout_seconds=2.5)
 
 
 class WaitTestCase(BalancerTestCase):
@@ -54,10 +54,10 @@
         catalog = make_catalog(revision, upstreams, (PATIENT_BOARD,))
         return self.change(catalog)
 
-    def wait(self, port: int, copies: int = 0) -> CallerWait:
+    def wait(self, port: int, retransmissions: int = 0) -> CallerWait:
         """Open a flow; return what the agent hears."""
         flow = FLOW._replace(port=port)
-        (offer,) = self.send(SYN, flow, ack=copies)
+        (offer,) = self.send(SYN, flow, ack=retransmissions)
         wait: CallerWait = offer.envelope.wait
         return wait
 
@@ -69,13 +69,15 @@
         """It sends them after 0.2 s and 0.6 s."""
         self.now = defaults.SETTLING_SECONDS
         self.assertEqual(self.wait(1), CallerWait(0, 2500, 2500))
-        self.assertEqual(self.wait(2, copies=2), CallerWait(600, 1900, 1900))
+        self.assertEqual(
+            self.wait(2, retransmissions=2), CallerWait(600, 1900, 1900)
+        )
 
     def test_route_s_timeout_ends_a_later_try(self) -> None:
         """A second try that the balancer knows of ends with the request."""
         self.now = defaults.SETTLING_SECONDS
         self.wait(1)
-        self.now += OPENING_SECONDS + 0.1
+        self.now += OPEN_TIMEOUT_SECONDS + 0.1
         self.assertEqual(self.wait(2), CallerWait(1500, 1000, 1000))
 
     def test_balancer_that_just_began_assumes_a_second_try(self) -> None:
@@ -104,7 +106,7 @@
             and effect.envelope.kind == EnvelopeKind.OPEN
         ]
         self.assertEqual(offer.envelope.wait.age_ms, 500)
-        self.assertEqual(offer.envelope.wait.patience_ms, 2000)
+        self.assertEqual(offer.envelope.wait.max_remaining_ms, 2000)
         self.assertEqual(self.state.parked, {})
 
     def test_callers_who_left_before_the_catalog_came_are_dropped(
@@ -113,7 +115,7 @@
         """Nothing is sent for them."""
         self.state = PacketState(FORMAT, 'a', self.now)
         self.send(SYN)
-        self.now += OPENING_SECONDS
+        self.now += OPEN_TIMEOUT_SECONDS
         self.assertNotIn(
             EnvelopeKind.OPEN,
             [
@@ -166,7 +168,7 @@
                 self.report(host, busy=number)
             (offer,) = self.send(SYN, FLOW._replace(port=1000 + port))
             hosts.append(offer.host)
-            self.now += 2 * OPENING_SECONDS
+            self.now += 2 * OPEN_TIMEOUT_SECONDS
         return hosts
 
     def test_balancers_with_other_reports_choose_alike(self) -> None:
@@ -195,7 +197,7 @@
         """Begin with a full upstream."""
         super().setUp()
         for port in range(ROOM):
-            self.ask(port, JUST_BEGUN)
+            self.ask(port, UNKNOWN_WAIT)
 
     def ask(self, port: int, wait: CallerWait, left_ms: int = 200) -> None:
         """Let a caller open a flow and send its request."""
@@ -293,7 +295,7 @@
     def test_room_of_a_caller_that_leaves_is_used_at_once(self) -> None:
         """Also when its last packet comes as a search."""
         for kind in (EnvelopeKind.FORWARD, EnvelopeKind.SEARCH):
-            self.ask(50 + kind, JUST_BEGUN)
+            self.ask(50 + kind, UNKNOWN_WAIT)
             ends = make_packet(FLOW._replace(port=int(kind)), FIN | ACK)
             passed = self.passed(self.hear(kind, ends))
             self.assertEqual(passed, [int(kind), 50 + kind])
--- a/tests/packets/test_agent.py
+++ b/tests/packets/test_agent.py
@@ -3,7 +3,7 @@
 from typing import Any
 from unittest import TestCase, mock
 
-from keelgap.catalog.defaults import ENTRY_RETURN_SECONDS
+from keelgap.catalog.defaults import ENTRY_RECOVERY_SECONDS
 from keelgap.packets.envelopes import (
     CallerWait,
     Envelope,
@@ -103,7 +103,7 @@
     def test_an_outage_is_told_until_entries_are_back(self) -> None:
         """A balancer that starts then reads a store without some."""
         self.hear_stamp(3, missed=True)
-        self.now += ENTRY_RETURN_SECONDS - 0.1
+        self.now += ENTRY_RECOVERY_SECONDS - 0.1
         self.assertEqual(self.state.make_stamp(self.now), Stamp(3, True))
         self.now += 0.2
         self.assertEqual(self.state.make_stamp(self.now), Stamp(3, False))
--- a/tests/packets/test_balancer.py
+++ b/tests/packets/test_balancer.py
@@ -4,7 +4,7 @@
 from unittest import TestCase
 
 from keelgap.addresses import Address
-from keelgap.catalog.models import Catalog, PacketRoute, Share
+from keelgap.catalog.models import Catalog, PacketRoute, TrafficShare
 from keelgap.packets.envelopes import (
     NO_STAMP,
     Envelope,
@@ -247,7 +247,7 @@
 
     def test_weights_split_a_route(self) -> None:
         """The flow's key decides, so that copies agree."""
-        shares = (Share('board', 90), Share('proof', 10))
+        shares = (TrafficShare('board', 90), TrafficShare('proof', 10))
         route = PacketRoute('r', '198.18.0.3', 443, shares)
         chosen = [
             choose_service(route, FLOW._replace(port=port).key)
@@ -491,24 +491,24 @@
 class AgeTests(BalancerTestCase):
     """How long a caller has waited already."""
 
-    def left(self, flow: FlowName, copies: int = 0) -> int:
+    def left(self, flow: FlowName, retransmissions: int = 0) -> int:
         """Open a flow; return the milliseconds left that the agent hears."""
-        (offer,) = self.send(SYN, flow, ack=copies)
+        (offer,) = self.send(SYN, flow, ack=retransmissions)
         left: int = offer.envelope.left_ms
         return left
 
     def test_copies_tell_when_the_caller_began(self) -> None:
         """It repeats after 0.2 s and 0.6 s."""
-        aim = int(BOARD.aim_seconds * 1000)
+        aim = int(BOARD.target_seconds * 1000)
         self.assertEqual(self.left(FLOW), aim)
         other = FLOW._replace(port=2)
-        self.assertEqual(self.left(other, copies=2), aim - 600)
+        self.assertEqual(self.left(other, retransmissions=2), aim - 600)
 
     def test_next_try_after_a_given_up_one_inherits_its_age(self) -> None:
         """The same host, right after it gave up."""
         self.left(FLOW)
         self.now += 1.4
-        aim = int(BOARD.aim_seconds * 1000)
+        aim = int(BOARD.target_seconds * 1000)
         retry = FLOW._replace(port=2)
         self.assertEqual(self.left(retry), aim - 1400)
         self.assertEqual(self.left(FLOW._replace(port=3)), aim)
@@ -518,5 +518,5 @@
         self.left(FLOW)
         self.send(ACK)
         self.now += 1.4
-        aim = int(BOARD.aim_seconds * 1000)
+        aim = int(BOARD.target_seconds * 1000)
         self.assertEqual(self.left(FLOW._replace(port=2)), aim)
--- a/tests/packets/test_cold.py
+++ b/tests/packets/test_cold.py
@@ -80,7 +80,7 @@
         notice = UpstreamNotice(
             5,
             warm_up_ms=2000,
-            cold_per_second=PER_SECOND,
+            warm_up_flow_rate=PER_SECOND,
         )
         self.hear(EnvelopeKind.HELLO, pack_notice(notice))
 
--- a/tests/packets/test_complete_agents.py
+++ b/tests/packets/test_complete_agents.py
@@ -116,7 +116,7 @@
         self.change(make_catalog(1, [young]))
         self.hear_of_a_change()
         notice = self.read()
-        self.assertTrue(notice.is_young)
+        self.assertTrue(notice.is_recent_start)
         self.assertNotEqual(notice.upstream_tag, 0)
 
     def test_it_says_so_again_when_it_has_caught_up(self) -> None:
@@ -136,7 +136,7 @@
             DIRECTORY.shards,
             upstream_tag=7,
             upstream_revision=4,
-            is_young=True,
+            is_recent_start=True,
             is_evacuated=True,
         )
         tag = compute_service_tag('proof')
--- a/tests/packets/test_directory.py
+++ b/tests/packets/test_directory.py
@@ -9,16 +9,16 @@
     make_directory,
 )
 from keelgap.packets.directory_messages import (
-    Lookup,
-    Question,
+    LookupRequest,
+    LookupResponse,
     Registration,
     pack_coverage,
-    pack_lookup,
-    pack_question,
+    pack_lookup_request,
+    pack_lookup_response,
     pack_registration,
     unpack_coverage,
-    unpack_lookup,
-    unpack_question,
+    unpack_lookup_request,
+    unpack_lookup_response,
     unpack_registration,
 )
 from keelgap.packets.envelopes import Envelope, EnvelopeKind
@@ -72,20 +72,24 @@
             DIRECTORY.shards,
             7,
             9,
-            is_young=True,
+            is_recent_start=True,
             is_evacuated=True,
             warm_up_ms=1500,
-            cold_per_second=2.5,
+            warm_up_flow_rate=2.5,
         )
         self.assertEqual(unpack_notice(pack_notice(notice)), notice)
-        question = Question(3, (FLOW.key,))
-        self.assertEqual(unpack_question(pack_question(question)), question)
+        question = LookupRequest(3, (FLOW.key,))
+        self.assertEqual(
+            unpack_lookup_request(pack_lookup_request(question)), question
+        )
         registration = Registration(1, 2, 3, 4, 5, True, (FLOW.key,))
         content = pack_registration(registration)
         self.assertEqual(unpack_registration(content), registration)
         other = FLOW._replace(port=2).key
-        lookup = Lookup(1, ((FLOW.key, HOSTS[:2]), (other, ())))
-        self.assertEqual(unpack_lookup(pack_lookup(lookup)), lookup)
+        lookup = LookupResponse(1, ((FLOW.key, HOSTS[:2]), (other, ())))
+        self.assertEqual(
+            unpack_lookup_response(pack_lookup_response(lookup)), lookup
+        )
 
     def test_long_lists_of_hosts_come_in_parts(self) -> None:
         """A datagram must not be fragmented."""
@@ -99,9 +103,9 @@
         """They come over a network."""
         readers = (
             unpack_notice,
-            unpack_question,
+            unpack_lookup_request,
             unpack_registration,
-            unpack_lookup,
+            unpack_lookup_response,
             unpack_coverage,
         )
         for unpack in readers:
@@ -249,7 +253,7 @@
 
     def test_agent_younger_than_its_upstream_does_not_know_all(self) -> None:
         """Its upstream holds flows that another agent passed on."""
-        registration = self.notice(is_young=False)[0]
+        registration = self.notice(is_recent_start=False)[0]
         self.assertFalse(registration.is_complete)
         self.now += agent_defaults.MAX_FLOW_AGE_SECONDS
         self.take(TimerFired(self.now))
@@ -258,27 +262,27 @@
     def test_agent_older_than_its_upstream_knows_all(self) -> None:
         """As on a machine that is added: nothing ran when it began."""
         self.state.registrar.predates_upstream = True
-        registration = self.notice(is_young=True)[0]
+        registration = self.notice(is_recent_start=True)[0]
         self.assertTrue(registration.is_complete)
 
     def test_agent_that_begins_after_its_upstream_does_not_know_all(
         self,
     ) -> None:
         """However short ago it started: another process may have been here."""
-        registration = self.notice(is_young=True)[0]
+        registration = self.notice(is_recent_start=True)[0]
         self.assertFalse(registration.is_complete)
 
     def test_upstream_that_only_stopped_to_listen_is_no_younger(self) -> None:
         """One that leaves may hold flows though it takes no probe."""
         self.state.registrar.predates_upstream = True
-        registration = self.notice(is_young=False)[0]
+        registration = self.notice(is_recent_start=False)[0]
         self.assertFalse(registration.is_complete)
 
     def test_lines_tell_why_it_knows_all_flows(self) -> None:
         """And when it was told where to register them."""
         self.now += 0.5
         self.state.registrar.predates_upstream = True
-        self.notice(is_young=True)
+        self.notice(is_recent_start=True)
         reason, told = (one.fields or {} for one in self.told)
         self.assertEqual(reason['reason'], 'older_than_upstream')
         self.assertEqual((reason['age'], told['age']), (0.5, 0.5))
@@ -289,19 +293,19 @@
     ) -> None:
         """It is older than both."""
         self.state.registrar.predates_upstream = True
-        self.notice(is_young=True)
-        self.notice(is_young=False, upstream_tag=2, upstream_revision=2)
+        self.notice(is_recent_start=True)
+        self.notice(is_recent_start=False, upstream_tag=2, upstream_revision=2)
         self.assertTrue(self.state.registrar.is_complete)
 
     def test_name_of_another_upstream_is_no_proof_of_a_start(self) -> None:
         """A balancer that is behind may tell of the former one first."""
-        self.notice(is_young=False)
+        self.notice(is_recent_start=False)
         self.notice(upstream_tag=2, upstream_revision=2)
         self.assertFalse(self.state.registrar.is_complete)
 
     def test_entry_of_the_former_upstream_comes_late(self) -> None:
         """From a balancer that has not read of the later one."""
-        self.notice(is_young=False, upstream_tag=2, upstream_revision=2)
+        self.notice(is_recent_start=False, upstream_tag=2, upstream_revision=2)
         self.notice(upstream_tag=1, upstream_revision=1)
         self.assertFalse(self.state.registrar.is_complete)
 
@@ -335,9 +339,9 @@
 
     def look_up(self, key: bytes = FLOW.key) -> tuple[str, ...]:
         """Return who holds a flow."""
-        question = pack_question(Question(0, (key,)))
+        question = pack_lookup_request(LookupRequest(0, (key,)))
         answers = self.hear(BALANCER, EnvelopeKind.LOOKUP, question)
-        lookup = unpack_lookup(answers[-1].envelope.content)
+        lookup = unpack_lookup_response(answers[-1].envelope.content)
         ((found, hosts),) = lookup.rows
         self.assertEqual(found, key)
         return hosts
@@ -352,11 +356,11 @@
         """A balancer that does not know for whom is told."""
         self.register()
         self.assertEqual(self.look_up(), (OWN,))
-        question = pack_question(Question(0, (FLOW.key,)))
+        question = pack_lookup_request(LookupRequest(0, (FLOW.key,)))
         told, found = self.hear(BALANCER, EnvelopeKind.LOOKUP, question)
         coverage = unpack_coverage(told.envelope.content)
         self.assertEqual(coverage.hosts, (OWN,))
-        known = pack_question(Question(coverage.digest, (FLOW.key,)))
+        known = pack_lookup_request(LookupRequest(coverage.digest, (FLOW.key,)))
         answers = self.hear(BALANCER, EnvelopeKind.LOOKUP, known)
         self.assertEqual(answers, [found])
 
@@ -443,7 +447,7 @@
     def test_lines_tell_whom_it_speaks_for_and_who_restarted(self) -> None:
         """Afterwards there is nothing else to tell why a flow was denied."""
         self.register()
-        question = pack_question(Question(0, (FLOW.key,)))
+        question = pack_lookup_request(LookupRequest(0, (FLOW.key,)))
         self.hear(BALANCER, EnvelopeKind.LOOKUP, question)
         self.register(boot=2)
         self.now += agent_defaults.COVERAGE_UPDATE_SECONDS
--- a/tests/packets/test_directory_search.py
+++ b/tests/packets/test_directory_search.py
@@ -4,10 +4,10 @@
 
 from keelgap.packets.directory import digest_hosts
 from keelgap.packets.directory_messages import (
-    Lookup,
+    LookupResponse,
     pack_coverage,
-    pack_lookup,
-    unpack_question,
+    pack_lookup_response,
+    unpack_lookup_request,
 )
 from keelgap.packets.envelopes import NO_STAMP, EnvelopeKind, Stamp
 from keelgap.packets.notices import unpack_notice
@@ -48,8 +48,10 @@
         for content in pack_coverage(self.covered):
             self.answer(node, EnvelopeKind.COVERED, content)
         digest = digest_hosts(self.covered)
-        lookup = Lookup(digest, ((FLOW.key, holders),))
-        return self.answer(node, EnvelopeKind.FOUND, pack_lookup(lookup))
+        lookup = LookupResponse(digest, ((FLOW.key, holders),))
+        return self.answer(
+            node, EnvelopeKind.FOUND, pack_lookup_response(lookup)
+        )
 
     def list_kinds(self, effects: list[Any]) -> list[int]:
         """Return the kinds of the envelopes that are sent."""
@@ -115,14 +117,14 @@
         sent = [self.send(ACK, flow) for flow in flows]
         self.assertEqual(sum(map(len, sent)), 1)
         key = flows[0].key
-        lookup = Lookup(0, ((key, ()),))
+        lookup = LookupResponse(0, ((key, ()),))
         effects = self.answer(
             sent[0][0].host,
             EnvelopeKind.FOUND,
-            pack_lookup(lookup),
+            pack_lookup_response(lookup),
         )
         asked = [
-            unpack_question(one.envelope.content).keys
+            unpack_lookup_request(one.envelope.content).keys
             for one in effects
             if one.envelope.kind == EnvelopeKind.LOOKUP
         ]
--- a/tests/packets/test_ejection.py
+++ b/tests/packets/test_ejection.py
@@ -702,9 +702,9 @@
         world, host, flow = self.hold()
         world.advance(1)
         self.assertEqual(world.read_end(flow), 'reset before')
-        for copies, kinds in ((1, []), (0, [EnvelopeKind.MISS])):
+        for retransmissions, kinds in ((1, []), (0, [EnvelopeKind.MISS])):
             world.sent.clear()
-            world.send('10.1.0.1', make_packet(flow, SYN, ack=copies))
+            world.send('10.1.0.1', make_packet(flow, SYN, ack=retransmissions))
             told = [
                 envelope.kind
                 for _, sender, envelope in world.sent
@@ -818,7 +818,7 @@
                 )
             )
             play(world, 4, each_tick=15)
-            flows = [world.open(READ, copies=2) for _ in range(20)]
+            flows = [world.open(READ, retransmissions=2) for _ in range(20)]
             for flow in flows:
                 world.send('10.1.0.1', make_packet(flow, ACK))
             world.advance(2)
--- a/tests/packets/test_ejection_bounds.py
+++ b/tests/packets/test_ejection_bounds.py
@@ -19,8 +19,8 @@
     """Send an opening packet through a balancer that prefers a host."""
     for view in world.balancers[balancer].agents.values():
         view.picks = 0 if view.host == host else 50
-    copies = len(world.to_caller.get(flow.key, ()))
-    world.send(balancer, make_packet(flow, SYN, ack=copies))
+    retransmissions = len(world.to_caller.get(flow.key, ()))
+    world.send(balancer, make_packet(flow, SYN, ack=retransmissions))
 
 
 class LateMissTests(TestCase):
@@ -150,7 +150,9 @@
 
     def test_both_programs_agree_on_forced_offers(self) -> None:
         """An ejected upstream is made to take what the balancer says."""
-        self.assertEqual(defaults.FORCED_HOP, agent_defaults.FORCED_HOP)
+        self.assertEqual(
+            defaults.FORCED_ACCEPT_HOP, agent_defaults.FORCED_ACCEPT_HOP
+        )
 
 
 class ServingShareTests(TestCase):
--- a/tests/packets/test_ejection_oracle.py
+++ b/tests/packets/test_ejection_oracle.py
@@ -70,7 +70,7 @@
     @rule(number=st.sampled_from(HOSTS), service=st.sampled_from(('board',)))
     def eject_with_waiting(self, number: int, service: str) -> None:
         """Let one be ejected while flows wait there."""
-        self.open(service=service, host='10.1.0.1', copies=1)
+        self.open(service=service, host='10.1.0.1', retransmissions=1)
         self.deliver_all()
         self.eject(number)
         waiting = [self.flows[key] for key in sorted(self.flows)]
--- a/tests/packets/test_evacuation.py
+++ b/tests/packets/test_evacuation.py
@@ -291,7 +291,7 @@
             started=100,
         )
         notices = read_notices(self.change(make_catalog(5, self.boards)))
-        self.assertFalse(notices['10.0.0.1'].is_young)
+        self.assertFalse(notices['10.0.0.1'].is_recent_start)
         self.assertEqual(notices['10.0.0.1'].warm_up_ms, 2000)
 
     def list_hosts(self, service: str) -> list[str]:
--- a/tests/packets/test_inheriting.py
+++ b/tests/packets/test_inheriting.py
@@ -11,14 +11,14 @@
 )
 from keelgap.packets.exceptions import MalformedEnvelope
 from keelgap.packets.served import (
-    MAX_SERVED,
+    MAX_SERVED_HOSTS,
     ServedHost,
-    ServedQuestion,
+    ServedHostsRequest,
     digest_served,
-    pack_question,
     pack_served,
-    unpack_question,
+    pack_served_request,
     unpack_served,
+    unpack_served_request,
 )
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import Decided, SendToAgent
@@ -37,16 +37,18 @@
 
     def test_messages_come_back_as_they_were(self) -> None:
         """Both kinds."""
-        question = ServedQuestion(7, 2**60)
-        self.assertEqual(unpack_question(pack_question(question)), question)
+        question = ServedHostsRequest(7, 2**60)
+        self.assertEqual(
+            unpack_served_request(pack_served_request(question)), question
+        )
         rows = (ServedHost('10.0.0.1', BOARD_TAG), ServedHost('10.0.0.2', 5))
         self.assertEqual(unpack_served(pack_served(rows)), rows)
 
     def test_octets_that_make_no_message_are_refused(self) -> None:
         """They come over a network."""
-        too_many = bytes(8 * (MAX_SERVED + 1))
+        too_many = bytes(8 * (MAX_SERVED_HOSTS + 1))
         for unpack, content in (
-            (unpack_question, bytes(9)),
+            (unpack_served_request, bytes(9)),
             (unpack_served, bytes(9)),
             (unpack_served, too_many),
         ):
@@ -75,8 +77,10 @@
 
     def be_asked(self, **fields: int) -> list[Any]:
         """Let a balancer ask whose first catalog was later."""
-        question = ServedQuestion(9, 0)._replace(**fields)
-        return self.get(EnvelopeKind.SERVED_ASKED, pack_question(question))
+        question = ServedHostsRequest(9, 0)._replace(**fields)
+        return self.get(
+            EnvelopeKind.SERVED_ASKED, pack_served_request(question)
+        )
 
 
 class AskTests(InheritingTestCase):
@@ -89,7 +93,7 @@
             self.assertIsInstance(sent, SendToAgent)
             self.assertEqual(sent.host, host)
             self.assertEqual(sent.envelope.kind, EnvelopeKind.SERVED_ASKED)
-            question = unpack_question(sent.envelope.content)
+            question = unpack_served_request(sent.envelope.content)
             self.assertEqual(question.first_revision, 1)
 
     def test_it_is_asked_again_after_a_pause(self) -> None:
@@ -144,7 +148,7 @@
     def test_who_lists_the_same_is_told_nothing(self) -> None:
         """As after most restarts."""
         (sent,) = self.hear()
-        digest = unpack_question(sent.envelope.content).digest
+        digest = unpack_served_request(sent.envelope.content).digest
         self.assertEqual(self.be_asked(digest=digest), [])
 
     def test_who_began_earlier_is_told_nothing(self) -> None:
--- a/tests/packets/test_lapse_unseen.py
+++ b/tests/packets/test_lapse_unseen.py
@@ -19,11 +19,11 @@
         world.start()
         world.move(number=5)
         world.crash(number=1, reuse=True)
-        world.wait_for_entries(number=1, copies=1)
+        world.wait_for_entries(number=1, retransmissions=1)
         world.crash(number=1, reuse=True)
         world.change_service(number=3)
         for _ in range(2):
-            world.open(service='board', host=behind, copies=1)
+            world.open(service='board', host=behind, retransmissions=1)
             world.deliver_all()
         for key in sorted(world.flows.keys() & world.accepted):
             packet = make_packet(world.flows[key], ACK, data=b'GET')
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -8,9 +8,9 @@
 
 from keelgap.packets.directory import digest_hosts, make_directory
 from keelgap.packets.directory_messages import (
-    Lookup,
+    LookupResponse,
     pack_coverage,
-    pack_lookup,
+    pack_lookup_response,
 )
 from keelgap.packets.envelopes import (
     NO_STAMP,
@@ -18,7 +18,7 @@
     EnvelopeKind,
     Stamp,
 )
-from keelgap.packets.openings import OPENING_SECONDS
+from keelgap.packets.openings import OPEN_TIMEOUT_SECONDS
 from keelgap_agent.packets import defaults as agent_defaults
 from keelgap_agent.packets.events import TimerFired as AgentTimerFired
 from keelgap_balancer.packets import defaults
@@ -178,7 +178,7 @@
         registered = self.notice(
             upstream_tag=2,
             upstream_revision=2,
-            is_young=True,
+            is_recent_start=True,
         )
         told = [one.is_complete for one in registered]
         self.assertEqual(told, [True, True])
@@ -186,7 +186,7 @@
     def test_node_that_began_later_hears_within_a_moment(self) -> None:
         """The first registration came before its socket was open."""
         self.state.registrar.predates_upstream = True
-        self.notice(is_young=True)
+        self.notice(is_recent_start=True)
         self.now += 1.1 * agent_defaults.STARTUP_REGISTER_SECONDS
         registered = self.read(self.take(AgentTimerFired(self.now)))
         told = [one.is_complete for one in registered]
@@ -195,7 +195,7 @@
     def test_registrations_are_few_after_the_first_second(self) -> None:
         """One a second shows that none was lost."""
         self.state.registrar.predates_upstream = True
-        self.notice(is_young=True)
+        self.notice(is_recent_start=True)
         self.now += agent_defaults.REGISTER_INTERVAL_SECONDS
         self.take(AgentTimerFired(self.now))
         self.now += 2 * agent_defaults.STARTUP_REGISTER_SECONDS
@@ -204,7 +204,7 @@
     def test_renewed_stream_is_no_first_second(self) -> None:
         """Nodes that run for long have missed nothing."""
         self.state.registrar.predates_upstream = True
-        self.notice(is_young=True)
+        self.notice(is_recent_start=True)
         self.now += agent_defaults.STREAM_RENEWAL_SECONDS
         renewed = self.read(self.take(AgentTimerFired(self.now)))
         self.assertEqual(len(renewed), 2)
@@ -214,7 +214,7 @@
     def test_changed_directory_is_no_first_second(self) -> None:
         """Each change of the shards begins all streams anew."""
         self.state.registrar.predates_upstream = True
-        self.notice(is_young=True)
+        self.notice(is_recent_start=True)
         self.now += agent_defaults.REGISTER_INTERVAL_SECONDS
         other = next(host for host in HOSTS if host not in {*NODES, OWN})
         moved = ((FIRST, other),)
@@ -226,7 +226,7 @@
         """With eight shards a thousand agents tell sixteen nodes each."""
         hosts = [f'10.0.{one // 250}.{one % 250}' for one in range(1000)]
         shards = make_directory(7, hosts, defaults.MAX_ASKED).shards
-        self.notice(is_young=True, revision=7, shards=shards)
+        self.notice(is_recent_start=True, revision=7, shards=shards)
         self.now += 4 * agent_defaults.STARTUP_REGISTER_SECONDS
         self.assertEqual(self.read(self.take(AgentTimerFired(self.now))), [])
 
@@ -362,7 +362,9 @@
         for flow in flows:
             self.send(ACK, flow)
         rows = tuple((flow.key, ()) for flow in flows)
-        content = pack_lookup(Lookup(digest_hosts(self.covered), rows))
+        content = pack_lookup_response(
+            LookupResponse(digest_hosts(self.covered), rows)
+        )
         waits: list[int] = []
         for node in (FIRST, SECOND):
             for part in pack_coverage(self.covered):
@@ -401,14 +403,14 @@
         did so within 0.75 s of the reset.
         """
         wait = self.retry()
-        oldest = 1000 * OPENING_SECONDS
-        self.assertEqual(wait.assured_ms, round(2500 - oldest))
-        self.assertEqual(wait.patience_ms, 1900)
+        oldest = 1000 * OPEN_TIMEOUT_SECONDS
+        self.assertEqual(wait.min_remaining_ms, round(2500 - oldest))
+        self.assertEqual(wait.max_remaining_ms, 1900)
 
     def test_time_of_the_search_counts(self) -> None:
         """The caller may have waited for it, and leaves first then."""
         wait = self.retry(searched=0.5)
-        oldest = 1000 * (OPENING_SECONDS + 0.5)
+        oldest = 1000 * (OPEN_TIMEOUT_SECONDS + 0.5)
         self.assertEqual(wait, CallerWait(600, 1900, round(2500 - oldest)))
 
     def test_long_search_refuses_nobody(self) -> None:
@@ -418,8 +420,8 @@
         search longer than the route's timeout it would do so at once.
         """
         wait = self.retry(searched=2.6)
-        self.assertEqual((wait.age_ms, wait.patience_ms), (600, 1900))
-        self.assertLess(wait.assured_ms, 0)
+        self.assertEqual((wait.age_ms, wait.max_remaining_ms), (600, 1900))
+        self.assertLess(wait.min_remaining_ms, 0)
 
     def test_reset_of_an_opening_of_known_age_leaves_no_doubt(self) -> None:
         """All its copies were seen."""
--- a/tests/packets/test_reports.py
+++ b/tests/packets/test_reports.py
@@ -17,7 +17,7 @@
     closed=False,
     is_ejected=True,
     wants_trial=True,
-    waiting=2,
+    queued=2,
     work_ms=29,
 )
 
--- a/tests/packets/test_scheduling.py
+++ b/tests/packets/test_scheduling.py
@@ -160,7 +160,7 @@
         """And as part of the sum, as before."""
         self.speak(STREAMING, 2)
         report = self.state.make_report()
-        self.assertEqual((report.waiting, report.busy), (1, ROOM + 1))
+        self.assertEqual((report.queued, report.busy), (1, ROOM + 1))
 
     def test_wait_is_counted_by_priority(self) -> None:
         """Routes of low priority count together."""
@@ -725,7 +725,7 @@
         """Open a flow of a route with terms of its own."""
         super().setUp()
         self.state.features = ON
-        self.route = BOARD._replace(priority=2, aim_seconds=0.486)
+        self.route = BOARD._replace(priority=2, target_seconds=0.486)
         routes = (self.route, PROOF)
         self.change(make_catalog(2, [*self.boards, self.proof], routes))
         self.send(SYN)
@@ -749,7 +749,7 @@
 
     def test_no_aim_is_told_as_unknown(self) -> None:
         """0 says that the balancer does not know."""
-        route = self.route._replace(aim_seconds=0)
+        route = self.route._replace(target_seconds=0)
         self.change(make_catalog(3, [*self.boards, self.proof], (route,)))
         self.assertEqual(self.forward().left_ms, 1)
 
--- a/tests/packets/test_unlisted.py
+++ b/tests/packets/test_unlisted.py
@@ -104,7 +104,7 @@
         world.change_service(number=1)
         world.change_service(number=1)
         for _ in range(8):
-            world.open(service='board', host=FIRST, copies=0)
+            world.open(service='board', host=FIRST, retransmissions=0)
             world.deliver_all()
         keys = speak_on_all(world, FIRST)
         self.assertIn([HOST], [world._find_holders(key) for key in keys])
@@ -327,7 +327,7 @@
         world.deliver_all()
         world.swap_ids(number=1, other=2)
         for _ in range(4):
-            world.open(service='board', host=FIRST, copies=0)
+            world.open(service='board', host=FIRST, retransmissions=0)
             world.deliver_all()
         keys = speak_on_all(world, FIRST)
         self.assertIn([HOST], [world._find_holders(key) for key in keys])
--- a/tests/packets/test_untold.py
+++ b/tests/packets/test_untold.py
@@ -9,7 +9,7 @@
     compute_service_tag,
 )
 from keelgap.packets.notices import pack_notice
-from keelgap.packets.openings import OPENING_SECONDS
+from keelgap.packets.openings import OPEN_TIMEOUT_SECONDS
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.effects import Decided, SendToPeer, SendToUpstream
 from keelgap_agent.packets.events import (
@@ -31,9 +31,11 @@
 class UntoldTests(AgentTestCase):
     """Guards flows against nodes that speak for the process before."""
 
-    def offer(self, copies: int = 0, sender: str = BALANCER) -> list[Any]:
+    def offer(
+        self, retransmissions: int = 0, sender: str = BALANCER
+    ) -> list[Any]:
         """Let a balancer offer a flow, or a copy of its opening packet."""
-        packet = make_packet(FLOW, SYN, ack=copies)
+        packet = make_packet(FLOW, SYN, ack=retransmissions)
         tag = self.state.service_tag
         wait = CallerWait(100, 1300, 900)
         envelope = Envelope(EnvelopeKind.OPEN, 0, 3, 0, 500, tag, packet, wait)
@@ -82,7 +84,7 @@
         self.now += 0.2
         self.assertEqual(self.list_asked(self.offer(1, _OTHER)), [_OTHER])
         (passed,) = self.list_passed(self.tell(pack_notice(NOTICE)))
-        self.assertEqual(self.state.format.copies(passed), 1)
+        self.assertEqual(self.state.format.retransmissions(passed), 1)
 
     def test_question_is_asked_again(self) -> None:
         """It may be lost, or its answer."""
@@ -95,7 +97,7 @@
     def test_flow_of_a_caller_that_left_is_dropped(self) -> None:
         """It would open for nobody."""
         self.offer()
-        self.now += OPENING_SECONDS + 0.1
+        self.now += OPEN_TIMEOUT_SECONDS + 0.1
         effects = self.take(TimerFired(self.now))
         self.assertIn(Decided('drop_untold'), effects)
         self.assertEqual(self.list_passed(self.tell(pack_notice(NOTICE))), [])
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from keelgap.catalog.models import Entry, ServiceLimits, Share
+from keelgap.catalog.models import Entry, ServiceLimits, TrafficShare
 from keelgap_platform.documents import (
     decode_evacuation,
     decode_routes,
@@ -122,8 +122,8 @@
         self.assertEqual(routes.idle_seconds, 15)
         first, second = routes.routes
         self.assertEqual(first.port, 8080)
-        self.assertEqual(first.shares, (Share('board', 1),))
-        self.assertEqual(first.aim_seconds, 0.283)
+        self.assertEqual(first.shares, (TrafficShare('board', 1),))
+        self.assertEqual(first.target_seconds, 0.283)
         self.assertEqual(first.timeout_seconds, 2.5)
         limits = {'board': ServiceLimits(2.5), 'proof': ServiceLimits()}
         self.assertEqual(routes.services, limits)
@@ -131,7 +131,7 @@
         self.assertEqual(second.timeout_seconds, 60)
         self.assertEqual(
             second.shares,
-            (Share('board', 90), Share('proof', 10)),
+            (TrafficShare('board', 90), TrafficShare('proof', 10)),
         )
 
     def test_upstream_is_decoded(self) -> None:
--- a/tests/platform/test_layout.py
+++ b/tests/platform/test_layout.py
@@ -24,12 +24,12 @@
 
     def test_opening_packet_is_read(self) -> None:
         """Addresses and ports are little-endian, flags are ours."""
-        self.assertTrue(FORMAT.is_whole(OPENING))
+        self.assertTrue(FORMAT.has_valid_length(OPENING))
         key = FORMAT.caller_key(OPENING)
         text = '100.64.0.7:40001>198.18.0.1:443'
         self.assertEqual(FORMAT.describe_key(key), text)
         self.assertEqual(FORMAT.flags(OPENING), Flags.SYN)
-        self.assertEqual(FORMAT.copies(OPENING), 0)
+        self.assertEqual(FORMAT.retransmissions(OPENING), 0)
         self.assertEqual(FORMAT.sequence(OPENING), 0x11223344)
         self.assertEqual(FORMAT.source_host(OPENING), '100.64.0.7')
         self.assertEqual(
@@ -92,4 +92,4 @@
         """Short, cut and padded datagrams are not whole."""
         stated = int.from_bytes(datagram[:2], 'little') + 34
         whole = len(datagram) >= 34 and len(datagram) == stated
-        self.assertEqual(FORMAT.is_whole(datagram), whole)
+        self.assertEqual(FORMAT.has_valid_length(datagram), whole)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -7,16 +7,16 @@
 
 from keelgap.addresses import Address
 from keelgap.catalog.events import CallFailed, FollowerEvent, PageRead
-from keelgap.runtime.http import HttpAnswer
+from keelgap.runtime.http import HttpResponse
 from keelgap.runtime.loop import EventLoop
 from keelgap_platform import store
 
 STORE = Address('10.200.1.7', 8169)
-PAGE = HttpAnswer(
+PAGE = HttpResponse(
     200,
     json.dumps({'items': [], 'HasMore': False, 'AsOf': 7}).encode(),
 )
-LOST = HttpAnswer(0, b'', 'timeout')
+LOST = HttpResponse(0, b'', 'timeout')
 
 
 class FakeConnection:
@@ -26,31 +26,31 @@
         self,
         loop: EventLoop,
         address: Address,
-        longest_body: int,
+        max_body_length: int,
     ) -> None:
         """Start without a call."""
-        self.longest_body = longest_body
-        self.on_answer: Callable[[HttpAnswer], None] | None = None
+        self.max_body_length = max_body_length
+        self.on_response: Callable[[HttpResponse], None] | None = None
 
     def get(
         self,
         target: str,
         timeout: float,
-        on_answer: Callable[[HttpAnswer], None],
+        on_response: Callable[[HttpResponse], None],
     ) -> None:
         """Wait."""
-        self.on_answer = on_answer
+        self.on_response = on_response
 
     def close(self) -> None:
         """Forget the call."""
-        self.on_answer = None
+        self.on_response = None
 
-    def answer(self, answer: HttpAnswer) -> None:
+    def answer(self, answer: HttpResponse) -> None:
         """Let an answer come, if the call still waits."""
-        on_answer = self.on_answer
-        self.on_answer = None
-        if on_answer is not None:
-            on_answer(answer)
+        on_response = self.on_response
+        self.on_response = None
+        if on_response is not None:
+            on_response(answer)
 
 
 class FirstPageTests(TestCase):
@@ -80,8 +80,8 @@
         first.answer(PAGE)
         self.assertEqual(self.events, [PageRead(1.0, {}, 7, '')])
         self.client.watch(7, 1.0)
-        self.assertIsNotNone(second.on_answer)
-        self.assertIsNone(first.on_answer)
+        self.assertIsNotNone(second.on_response)
+        self.assertIsNone(first.on_response)
 
     def test_slow_store_still_answers_the_first_call(self) -> None:
         """A second call must not cost the answer to the first."""
@@ -106,9 +106,9 @@
         longest_entry = 1_048_576
         in_base64 = 4 / 3
         for connection in self.connections:
-            self.assertLess(connection.longest_body, 4_000_000)
+            self.assertLess(connection.max_body_length, 4_000_000)
             self.assertGreater(
-                connection.longest_body,
+                connection.max_body_length,
                 (page + longest_entry) * in_base64,
             )
 
@@ -116,8 +116,8 @@
         self,
         loop: EventLoop,
         address: Address,
-        longest_body: int,
+        max_body_length: int,
     ) -> FakeConnection:
-        connection = FakeConnection(loop, address, longest_body)
+        connection = FakeConnection(loop, address, max_body_length)
         self.connections.append(connection)
         return connection
--- a/tests/soak/fleet_faults.py
+++ b/tests/soak/fleet_faults.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Final
 
-from keelgap.catalog.models import PacketRoute, Share
+from keelgap.catalog.models import PacketRoute, TrafficShare
 from tests.soak.faults import LATER_FAULTS, LINK_FAULTS, Fault
 from tests.soak.world import World
 
@@ -117,7 +117,7 @@
             f'unused-{number}',
             f'198.19.{number // 200}.{number % 200 + 1}',
             443,
-            (Share(random.choice(_SERVICES), 1),),
+            (TrafficShare(random.choice(_SERVICES), 1),),
         )
         for number in range(_ROUTES)
     ]
--- a/tests/soak/truth.py
+++ b/tests/soak/truth.py
@@ -3,7 +3,7 @@
 import time
 from typing import Final, NamedTuple
 
-from keelgap.catalog.models import PacketRoute, Share
+from keelgap.catalog.models import PacketRoute, TrafficShare
 from tests.soak.settings import (
     CONFIG_SECONDS,
     DRAIN_SECONDS,
@@ -19,9 +19,9 @@
 _BOUNCED: Final = 1
 
 ROUTES: Final = (
-    PacketRoute('board', '198.18.0.1', 443, (Share('board', 1),)),
-    PacketRoute('proof', '198.18.0.2', 443, (Share('proof', 1),)),
-    PacketRoute('spare', '198.18.0.3', 443, (Share('board', 1),)),
+    PacketRoute('board', '198.18.0.1', 443, (TrafficShare('board', 1),)),
+    PacketRoute('proof', '198.18.0.2', 443, (TrafficShare('proof', 1),)),
+    PacketRoute('spare', '198.18.0.3', 443, (TrafficShare('board', 1),)),
 )
 
 
