--- a/experiments/membership_model.py
+++ b/experiments/membership_model.py
@@ -17,11 +17,11 @@
 from experiments.outage.clock import VirtualClock
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.gossip import (
-    Gossip,
+    GossipMessage,
     decode_gossip,
     encode_gossip,
 )
-from keelgap_balancer.packets.peers import Peers
+from keelgap_balancer.packets.peers import PeerTable
 
 __all__ = ('MemberFleet', 'measure')
 
@@ -46,7 +46,7 @@
         #: Hosts whose links lose HARMED_LOSS of the messages.
         self.harmed: set[str] = set()
         self.hosts = [f'10.{one // 250}.{one % 250}.1' for one in range(count)]
-        self.alive: dict[str, Peers] = {}
+        self.alive: dict[str, PeerTable] = {}
         #: Hosts that run no code now, or reach nobody.
         self.frozen: set[str] = set()
         self.cut: set[str] = set()
@@ -75,13 +75,13 @@
 
     def count_knowing(self, host: str) -> int:
         """Return how many living balancers think that a host lives."""
-        return sum(host in peers.heard for peers in self.alive.values())
+        return sum(host in peers.last_heard for peers in self.alive.values())
 
     def count_missing(self) -> int:
         """Return how many pairs of living ones do not know each other."""
         living = len(self.alive)
         known = sum(
-            len(peers.heard.keys() & self.alive.keys())
+            len(peers.last_heard.keys() & self.alive.keys())
             for peers in self.alive.values()
         )
         return living * (living - 1) - known
@@ -90,13 +90,13 @@
         def start() -> None:
             self.starts += 1
             seeds = self.hosts[:_SEEDS]
-            peers = Peers(host, seeds, incarnation=self.starts)
+            peers = PeerTable(host, seeds, incarnation=self.starts)
             self.alive[host] = peers
             self._fire(host, peers)
 
         return start
 
-    def _fire(self, host: str, peers: Peers) -> None:
+    def _fire(self, host: str, peers: PeerTable) -> None:
         if self.alive.get(host) is not peers:
             return
         now = self.clock.now
@@ -109,15 +109,15 @@
                     for other in lost
                     if other in self.alive and self._is_able(other)
                 ]
-            receivers = peers.list_receivers(
+            receivers = peers.select_receivers(
                 is_reader=False,
                 is_round=True,
             )
             for place, other in enumerate(receivers):
-                is_asked = peers.is_asked(other, place)
-                asks = is_asked and peers.probe(other, now)
-                self._send(host, peers, other, asks=asks)
-        pause = defaults.GOSSIP_SECONDS
+                should_probe = peers.should_probe(other, place)
+                wants_reply = should_probe and peers.start_probe(other, now)
+                self._send(host, peers, other, wants_reply=wants_reply)
+        pause = defaults.GOSSIP_INTERVAL_SECONDS
         self.clock.later(now + pause, lambda: self._fire(host, peers))
 
     def _note_unable(self) -> None:
@@ -130,25 +130,27 @@
         What it owed before is held against it a little longer.
         """
         unable_at = self.unable_at.get(host, float('-inf'))
-        owed = defaults.ANSWER_SECONDS + defaults.SUSPECT_SECONDS
+        owed = (
+            defaults.PROBE_TIMEOUT_SECONDS + defaults.SUSPICION_TIMEOUT_SECONDS
+        )
         return self.clock.now - unable_at > owed
 
     def _send(
         self,
         host: str,
-        peers: Peers,
+        peers: PeerTable,
         receiver: str,
         *,
-        asks: bool = False,
+        wants_reply: bool = False,
     ) -> None:
-        gossip = Gossip(
+        gossip = GossipMessage(
             1,
-            reads=False,
-            peers=peers.list_latest(),
+            is_reader=False,
+            peers=peers.list_recent_peers(),
             claims=(),
             incarnation=peers.incarnation,
-            asks=asks,
-            changes=peers.take_news(),
+            wants_reply=wants_reply,
+            changes=peers.take_updates(),
         )
         content = encode_gossip(gossip)
         self.octets += len(content) + HEADS
@@ -170,9 +172,11 @@
             )
             return
         gossip = decode_gossip(content)
-        peers.take(gossip.changes, now)
-        is_new = peers.note(sender, gossip.incarnation, gossip.peers, now)
-        if is_new or gossip.asks:
+        peers.merge(gossip.changes, now)
+        is_new = peers.record_message(
+            sender, gossip.incarnation, gossip.peers, now
+        )
+        if is_new or gossip.wants_reply:
             self._send(host, peers, sender)
 
 
--- a/experiments/packet_slopes.py
+++ b/experiments/packet_slopes.py
@@ -37,7 +37,7 @@
     EnvelopeArrived,
     TimerFired,
 )
-from keelgap_balancer.packets.placement import choose_taker
+from keelgap_balancer.packets.placement import choose_agent
 from keelgap_balancer.packets.state import PacketState, make_owners
 from keelgap_platform.layout import make_packet_format
 
@@ -197,7 +197,7 @@
     state: PacketState, route: PacketRoute, number: int
 ) -> None:
     """Choose the agent for one flow."""
-    choose_taker(state, route, number.to_bytes(12, 'little'), 0, ())
+    choose_agent(state, route, number.to_bytes(12, 'little'), 0, ())
 
 
 def measure_flows(count: int) -> dict[str, Any]:
--- a/experiments/readers_model.py
+++ b/experiments/readers_model.py
@@ -18,11 +18,11 @@
 from keelgap.catalog.readers import ReaderClaim, ReaderElection
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.gossip import (
-    Gossip,
+    GossipMessage,
     decode_gossip,
     encode_gossip,
 )
-from keelgap_balancer.packets.peers import Peers
+from keelgap_balancer.packets.peers import PeerTable
 
 SIZES = (8, 21, 100, 370)
 #: Octets around a message: its envelope's head, UDP and IPv4.
@@ -37,7 +37,7 @@
 
     def __init__(self, host: str, seeds: list[str]) -> None:
         """Start with the seeds only."""
-        self.peers = Peers(host, seeds)
+        self.peers = PeerTable(host, seeds)
         self.readers = ReaderElection(host)
         self.revision = 1
         self.octets = 0
@@ -61,53 +61,57 @@
         """Let half a second pass."""
         order = list(self.nodes)
         self.random.shuffle(order)
-        pause = defaults.GOSSIP_SECONDS / len(order)
+        pause = defaults.GOSSIP_INTERVAL_SECONDS / len(order)
         for host in order:
             self.now += pause
             node = self.nodes[host]
             node.peers.tick(self.now)
-            node.readers.decide(self.now, node.peers.heard)
+            node.readers.decide(self.now, node.peers.last_heard)
             self.tell(node)
 
     def tell(self, node: Node) -> None:
         """Let one tell those whose turn it is."""
         is_reader = node.readers.is_reader
-        receivers = node.peers.list_receivers(is_reader=is_reader)
+        receivers = node.peers.select_receivers(is_reader=is_reader)
         for place, host in enumerate(receivers):
-            is_asked = node.peers.is_asked(host, place)
-            asks = is_asked and node.peers.probe(host, self.now)
-            self.tell_one(node, host, asks=asks)
-
-    def tell_one(self, node: Node, host: str, *, asks: bool = False) -> None:
+            should_probe = node.peers.should_probe(host, place)
+            wants_reply = should_probe and node.peers.start_probe(
+                host, self.now
+            )
+            self.tell_one(node, host, wants_reply=wants_reply)
+
+    def tell_one(
+        self, node: Node, host: str, *, wants_reply: bool = False
+    ) -> None:
         """Let one tell another; some messages are lost."""
-        gossip = Gossip(
+        gossip = GossipMessage(
             node.revision,
             node.readers.is_reader,
-            node.peers.list_latest(),
+            node.peers.list_recent_peers(),
             node.readers.make_claims(self.now),
             node.peers.incarnation,
-            asks,
-            node.peers.take_news(),
+            wants_reply,
+            node.peers.take_updates(),
         )
         content = encode_gossip(gossip)
         node.octets += len(content) + HEADS
         receiver = self.nodes.get(host)
         if receiver is not None and self.random.random() >= LOSS:
-            self.hear(receiver, node.peers.own, decode_gossip(content))
+            self.hear(receiver, node.peers.own_host, decode_gossip(content))
 
-    def hear(self, node: Node, sender: str, gossip: Gossip) -> None:
+    def hear(self, node: Node, sender: str, gossip: GossipMessage) -> None:
         """Let one take a message, and fetch what it lacks."""
         for claim in gossip.claims:
             node.readers.record_claim(claim, self.now)
-        if gossip.reads:
+        if gossip.is_reader:
             node.readers.record_claim(ReaderClaim(sender, 0), self.now)
         else:
             node.readers.record_withdrawal(sender, self.now)
-        node.peers.take(gossip.changes, self.now)
-        known = node.peers.note(
+        node.peers.merge(gossip.changes, self.now)
+        known = node.peers.record_message(
             sender, gossip.incarnation, gossip.peers, self.now
         )
-        if known or gossip.asks:
+        if known or gossip.wants_reply:
             self.tell_one(node, sender)
         if gossip.revision > node.revision:
             node.revision = gossip.revision
@@ -155,7 +159,7 @@
     replaced: float = 0
     while not fleet.list_readers() and replaced < 60:
         fleet.run_round()
-        replaced += defaults.GOSSIP_SECONDS
+        replaced += defaults.GOSSIP_INTERVAL_SECONDS
     return {
         'balancers': count,
         'readers_after_5_15_30_s': [settled[9], settled[29], settled[59]],
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
@@ -4,7 +4,7 @@
 
 from keelgap.catalog.models import PacketRoute
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.ages import get_host
+from keelgap_balancer.packets.caller_waits import get_caller_host
 from keelgap_balancer.packets.placement import choose_service
 from keelgap_balancer.packets.searches import Search
 from keelgap_balancer.packets.shares import Queue
@@ -15,8 +15,8 @@
     'Excess',
     'find_excess',
     'get_queue',
-    'has_asked_enough',
-    'list_full',
+    'has_enough_refusals',
+    'list_full_hosts',
 )
 
 _MILLISECONDS: Final = 1000
@@ -25,7 +25,7 @@
 class Excess(NamedTuple):
     """Recent flows of a caller, and the level of equal shares they reach."""
 
-    got: float
+    recent_flows: float
     level: float
 
 
@@ -39,7 +39,7 @@
 
     If an upstream reports a free slot, the level is too low and is raised.
     """
-    shares = state.ages.shares
+    shares = state.caller_waits.shares
     queue = get_queue(route, key)
     level = shares.get_level(queue, now)
     if level is None:
@@ -47,8 +47,8 @@
     views = state.by_service.get(queue.service, ())
     if any(_is_idle(view, now) for view in views):
         shares.note_idle(queue, now)
-    got = shares.read(queue, get_host(key), now)
-    return None if got < level else Excess(got, level)
+    recent_flows = shares.read(queue, get_caller_host(key), now)
+    return None if recent_flows < level else Excess(recent_flows, level)
 
 
 def get_queue(route: PacketRoute, key: bytes) -> Queue:
@@ -56,17 +56,17 @@
     return Queue(choose_service(route, key), route.priority)
 
 
-def has_asked_enough(search: Search) -> bool:
+def has_enough_refusals(search: Search) -> bool:
     """Return whether enough agents refused a flow for lack of time.
 
     After that, only agents whose reports show free capacity are asked.  A
     single refusal is not enough, since reports may be some ten milliseconds
     old.  A balancer without messages from agents refuses no flow.
     """
-    return search.lacks_time >= defaults.FEWEST_WITHOUT_TIME
+    return search.lacks_time >= defaults.MIN_TIME_REFUSALS
 
 
-def list_full(
+def list_full_hosts(
     state: PacketState,
     route: PacketRoute,
     key: bytes,
@@ -79,7 +79,7 @@
     service = choose_service(route, key)
     views = state.by_service.get(service, ())
     remaining_seconds = max(
-        route.target_seconds - state.ages.get_age(key, now), 0
+        route.target_seconds - state.caller_waits.get_request_age(key, now), 0
     )
     return {
         view.host for view in views if _is_full(view, remaining_seconds, now)
@@ -87,17 +87,17 @@
 
 
 def _is_full(view: AgentView, remaining_seconds: float, now: float) -> bool:
-    if view.is_quiet(now):
+    if view.is_unresponsive(now):
         return True
     report = view.report
     slots = max(view.upstream.slots, 1)
-    queue_length = report.busy + view.picks - slots
+    queue_length = report.busy + view.flows_since_report - slots
     work_ms = report.work_ms or report.answer_ms
     return queue_length * work_ms / slots > remaining_seconds * _MILLISECONDS
 
 
 def _is_idle(view: AgentView, now: float) -> bool:
     """Return whether an upstream has a free slot, as far as is known."""
-    if not view.is_open() or view.is_quiet(now):
+    if not view.accepts_flows() or view.is_unresponsive(now):
         return False
-    return view.report.busy + view.picks < view.upstream.slots
+    return view.report.busy + view.flows_since_report < view.upstream.slots
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/ages.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/ages.py
@@ -17,7 +17,7 @@
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.shares import CallerShares
 
-__all__ = ('CallerAges', 'WaitEstimate', 'get_host', 'make_wait')
+__all__ = ('CallerWaits', 'WaitEstimate', 'get_caller_host', 'make_caller_wait')
 
 _MILLISECONDS: Final = 1000
 
@@ -28,12 +28,12 @@
     #: Seconds since the first packet of this flow.
     flow_seconds: float
     #: Seconds since the first attempt of its request, as far as is known.
-    on_request: float
+    request_seconds: float
     #: Seconds by which the request may be older than that.
     uncertainty: float = 0
 
 
-def make_wait(
+def make_caller_wait(
     route: PacketRoute,
     waited: WaitEstimate,
     *,
@@ -44,13 +44,13 @@
     If this balancer may have missed an earlier attempt of the caller, this
     one may be its second.
     """
-    on_request = route.timeout_seconds - waited.on_request
-    assured_seconds = on_request - waited.uncertainty
-    if not is_first_try and waited.on_request == waited.flow_seconds:
+    request_seconds = route.timeout_seconds - waited.request_seconds
+    assured_seconds = request_seconds - waited.uncertainty
+    if not is_first_try and waited.request_seconds == waited.flow_seconds:
         assured_seconds -= OPEN_TIMEOUT_SECONDS + defaults.RETRY_PAUSE_SECONDS
     return CallerWait(
-        round(waited.on_request * _MILLISECONDS),
-        round(on_request * _MILLISECONDS),
+        round(waited.request_seconds * _MILLISECONDS),
+        round(request_seconds * _MILLISECONDS),
         round(assured_seconds * _MILLISECONDS),
     )
 
@@ -70,21 +70,21 @@
     forwarded_at: float = float('-inf')
 
 
-class CallerAges:
+class CallerWaits:
     """Flow openings without an outcome, with the waiting time of callers."""
 
     def __init__(self, now: float) -> None:
         """Start without openings."""
         #: When the latest packet of any caller arrived.
-        self.last_packet = now
+        self.last_packet_at = now
         self.openings: dict[bytes, _Opening] = {}
         self.by_host: dict[bytes, list[bytes]] = {}
         self.shares = CallerShares()
         #: Refused callers that are still to be announced to other balancers.
-        self.untold: list[RefusedCaller] = []
-        self.told_at = float('-inf')
+        self.unannounced: list[RefusedCaller] = []
+        self.announced_at = float('-inf')
 
-    def note_opening(
+    def record_opening(
         self, key: bytes, retransmissions: int, now: float
     ) -> WaitEstimate:
         """Record an opening packet; return how long its caller has waited."""
@@ -105,12 +105,12 @@
         opening = self.openings.get(key)
         return opening is not None and opening.refusals > 0
 
-    def get_age(self, key: bytes, now: float) -> float:
+    def get_request_age(self, key: bytes, now: float) -> float:
         """Return for how many seconds the caller of an opening has waited."""
         opening = self.openings.get(key)
         return 0 if opening is None else now - opening.requested_at
 
-    def note_passed(self, key: bytes, now: float) -> None:
+    def record_forwarded(self, key: bytes, now: float) -> None:
         """Record that a packet of the opening was forwarded to an agent."""
         opening = self.openings.get(key)
         if opening is not None:
@@ -125,21 +125,21 @@
         opening = self.openings.get(key)
         if opening is None:
             return True
-        return now - opening.forwarded_at > defaults.OPENED_SECONDS
+        return now - opening.forwarded_at > defaults.ANSWERED_ELSEWHERE_SECONDS
 
-    def is_given_up(self, key: bytes, now: float) -> bool:
+    def is_abandoned(self, key: bytes, now: float) -> bool:
         """Return whether the caller has given up the opening."""
         opening = self.openings.get(key)
         if opening is None:
             return True
-        return now - opening.started_at >= defaults.GIVE_UP_SECONDS
+        return now - opening.started_at >= defaults.ABANDON_SECONDS
 
-    def note_opened(self, key: bytes) -> None:
+    def record_opened(self, key: bytes) -> None:
         """Forget an opening whose flow is open."""
         if key in self.openings:
             self._remove(key)
 
-    def note_reset(self, key: bytes, now: float, searched: float = 0) -> None:
+    def record_reset(self, key: bytes, now: float, searched: float = 0) -> None:
         """Expect a retry from the caller of a flow that is reset.
 
         The first packet that arrived here, ``searched`` seconds ago, may have
@@ -148,10 +148,10 @@
         makes its next request count as one whose caller has left.
         """
         opening = self.openings.get(key)
-        given_up = now - defaults.GIVE_UP_SECONDS
+        given_up = now - defaults.ABANDON_SECONDS
         if opening is None:
             requested_at = now - defaults.RESET_AGE_SECONDS
-            uncertainty = defaults.RESET_DOUBT_SECONDS + searched
+            uncertainty = defaults.RESET_AGE_UNCERTAINTY_SECONDS + searched
         else:
             requested_at = opening.requested_at
             uncertainty = opening.uncertainty
@@ -160,7 +160,9 @@
 
     def expire(self, now: float) -> None:
         """Forget openings that were given up and not retried in time."""
-        oldest_start = now - defaults.GIVE_UP_SECONDS - defaults.RETRY_SECONDS
+        oldest_start = (
+            now - defaults.ABANDON_SECONDS - defaults.RETRY_WINDOW_SECONDS
+        )
         old = [
             key
             for key, opening in self.openings.items()
@@ -181,17 +183,17 @@
         self._remove(key)
         age_ms = round((now - opening.requested_at) * _MILLISECONDS)
         caller = RefusedCaller(key, age_ms, opening.refusals + 1)
-        if caller.refusals < defaults.CALLER_TRIES:
-            self.expect_again(caller, now)
-            self.untold.append(caller)
+        if caller.refusals < defaults.MAX_CALLER_TRIES:
+            self.expect_retry(caller, now)
+            self.unannounced.append(caller)
 
-    def expect_again(self, caller: RefusedCaller, now: float) -> None:
+    def expect_retry(self, caller: RefusedCaller, now: float) -> None:
         """Treat the next new flow of a refused caller as a retry."""
         if len(self.openings) >= defaults.MAX_OPENINGS:
             return
-        since = defaults.GIVE_UP_SECONDS + defaults.RETRY_SECONDS
+        since = defaults.ABANDON_SECONDS + defaults.RETRY_WINDOW_SECONDS
         opening = _Opening(
-            now - since + defaults.REFUSED_SECONDS,
+            now - since + defaults.REFUSED_RETRY_SECONDS,
             now - caller.age_ms / _MILLISECONDS,
             refusals=caller.refusals,
         )
@@ -199,8 +201,8 @@
 
     def _continue_given_up(self, key: bytes, started_at: float) -> _Opening:
         """Return an opening with the age of the one that it may retry."""
-        latest_start = started_at - defaults.GIVE_UP_SECONDS
-        for other in self.by_host.get(get_host(key), ()):
+        latest_start = started_at - defaults.ABANDON_SECONDS
+        for other in self.by_host.get(get_caller_host(key), ()):
             opening = self.openings[other]
             if opening.started_at <= latest_start:
                 self._remove(other)
@@ -209,18 +211,18 @@
 
     def _add(self, key: bytes, opening: _Opening) -> None:
         if key not in self.openings:
-            self.by_host.setdefault(get_host(key), []).append(key)
+            self.by_host.setdefault(get_caller_host(key), []).append(key)
         self.openings[key] = opening
 
     def _remove(self, key: bytes) -> None:
         self.openings.pop(key)
-        host = get_host(key)
+        host = get_caller_host(key)
         keys = self.by_host[host]
         keys.remove(key)
         if not keys:
             self.by_host.pop(host)
 
 
-def get_host(key: bytes) -> bytes:
+def get_caller_host(key: bytes) -> bytes:
     """Return the octets of a flow key that hold the caller's address."""
     return key[:4]
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/asking.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/asking.py
@@ -53,7 +53,7 @@
     now: float,
 ) -> bool:
     """Return whether the directory may soon cover more of many agents."""
-    is_early = now - search.started < defaults.DIRECTORY_SECONDS
+    is_early = now - search.started < defaults.DIRECTORY_TIMEOUT_SECONDS
     return bool(nodes) and is_early and len(agents) > defaults.MAX_ASKED
 
 
@@ -72,7 +72,7 @@
         return False
     is_answered = search.denied.keys() >= set(nodes)
     waited = now - search.started
-    return not is_answered or waited < defaults.COVERAGE_SECONDS
+    return not is_answered or waited < defaults.COVERAGE_WAIT_SECONDS
 
 
 def _is_node_unresponsive(
@@ -107,7 +107,7 @@
     if not unqueried:
         return _ask_again(state, search, ranked, now)
     are_many = len(agents) > defaults.MAX_ASKED
-    batch_size = defaults.ASKED_AT_ONCE if are_many else 1
+    batch_size = defaults.SEARCH_FANOUT if are_many else 1
     return tuple(
         effect
         for host in unqueried[:batch_size]
@@ -171,8 +171,8 @@
     return sorted(
         agents,
         key=lambda view: (
-            view.gone_since is not None or view.is_quiet(now),
+            view.missing_since is not None or view.is_unresponsive(now),
             not state.is_near(view),
-            xxh3_64_intdigest(key, view.seed),
+            xxh3_64_intdigest(key, view.start_hash),
         ),
     )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
@@ -7,88 +7,88 @@
 
 __all__ = (
     'ANY_TRIAL_SECONDS',
-    'MAX_ASKED_FOR_ROOM',
-    'MAX_REFUSED_TOLD',
-    'REFUSED_PAUSE_SECONDS',
-    'REFUSED_SECONDS',
-    'CALLER_TRIES',
-    'FEWEST_WITHOUT_TIME',
+    'MAX_CAPACITY_OFFERS',
+    'MAX_REFUSED_RECEIVERS',
+    'REFUSED_INTERVAL_SECONDS',
+    'REFUSED_RETRY_SECONDS',
+    'MAX_CALLER_TRIES',
+    'MIN_TIME_REFUSALS',
     'LEVEL_FALL',
     'LEVEL_JUMP',
     'LEVEL_PAUSE_SECONDS',
     'LEVEL_RISE',
     'LEVEL_START',
     'MAX_CALLERS',
-    'PRESSED_SECONDS',
-    'SHARE_SECONDS',
-    'ASKED_AT_ONCE',
-    'COVERAGE_SECONDS',
-    'DIRECTORY_SECONDS',
+    'PRESSURE_SECONDS',
+    'SHARE_DECAY_SECONDS',
+    'SEARCH_FANOUT',
+    'COVERAGE_WAIT_SECONDS',
+    'DIRECTORY_TIMEOUT_SECONDS',
     'DRAINED_SECONDS',
-    'FEWEST_WIDE_LINKS',
-    'FAR_ASK_SECONDS',
-    'FAR_TRIAL_SECONDS',
+    'MIN_FAST_LINKS',
+    'REMOTE_POLL_INTERVAL_SECONDS',
+    'REMOTE_TRIAL_SECONDS',
     'FLOW_GENERATION_SECONDS',
     'FORCED_ACCEPT_HOP',
     'FORMER_ROUTE_SECONDS',
-    'GIVE_UP_SECONDS',
-    'GONE_SECONDS',
-    'GOSSIP_AT_ONCE',
-    'GOSSIP_SECONDS',
-    'GREETINGS_AT_ONCE',
-    'HELLO_SECONDS',
-    'ANSWER_SECONDS',
-    'INHERIT_PAUSE_SECONDS',
+    'ABANDON_SECONDS',
+    'MISSING_ENTRY_SECONDS',
+    'GOSSIP_FANOUT',
+    'GOSSIP_INTERVAL_SECONDS',
+    'POLLS_PER_TICK',
+    'POLL_INTERVAL_SECONDS',
+    'PROBE_TIMEOUT_SECONDS',
+    'INHERIT_INTERVAL_SECONDS',
     'INHERIT_SECONDS',
     'ISOLATED_SECONDS',
     'MAX_CHANGES',
-    'NEWS_FACTOR',
-    'PAUSED_SECONDS',
-    'SUSPECT_SECONDS',
-    'LOOKUP_AGAIN_SECONDS',
-    'LOOKUP_SECONDS',
-    'LEFT_OUT_SECONDS',
-    'MANY_FOR_LEFT_OUT',
+    'RETRANSMIT_FACTOR',
+    'MAX_ROUND_GAP_SECONDS',
+    'SUSPICION_TIMEOUT_SECONDS',
+    'LOOKUP_RETRY_SECONDS',
+    'LOOKUP_TIMEOUT_SECONDS',
+    'EXCLUSION_CACHE_SECONDS',
+    'EXCLUSION_CACHE_THRESHOLD',
     'MAX_ASKED',
     'MAX_FLOWS',
     'MAX_GOSSIP_PEERS',
-    'MAX_GREETED',
+    'MAX_POLLED_AGENTS',
     'MAX_HOPS',
     'MAX_INHERITING',
     'MAX_OPENINGS',
     'MAX_PARKED',
-    'MAX_PLACES',
+    'MAX_RELAYED_INFOS',
     'MAX_SEARCHES',
-    'MAX_UNSPOKEN',
+    'MAX_CACHED_UNCOVERED',
     'MIN_NEAR_AGENTS',
-    'NOTICE_AGAIN_SECONDS',
-    'OPENED_SECONDS',
-    'PEER_SECONDS',
-    'PROBES_AT_ONCE',
-    'QUEUE_LOAD',
-    'QUEUE_STEP',
-    'QUIET_SECONDS',
-    'READER_GOSSIP_PEERS',
-    'REMOTE_LOAD',
-    'REPEAT_SECONDS',
+    'NOTICE_INTERVAL_SECONDS',
+    'ANSWERED_ELSEWHERE_SECONDS',
+    'PEER_TIMEOUT_SECONDS',
+    'PROBE_FANOUT',
+    'QUEUE_LOAD_THRESHOLD',
+    'QUEUE_STEP_FACTOR',
+    'UNRESPONSIVE_SECONDS',
+    'READER_GOSSIP_FANOUT',
+    'REMOTE_ZONE_COST',
+    'CALLER_SILENCE_SECONDS',
     'RESET_AGE_SECONDS',
-    'RESET_DOUBT_SECONDS',
+    'RESET_AGE_UNCERTAINTY_SECONDS',
     'RETRY_PAUSE_SECONDS',
-    'RETRY_SECONDS',
-    'SERVING_SHARE',
-    'TRIAL_PAUSE_SECONDS',
-    'ROUTERS_SECONDS',
-    'SEARCH_SECONDS',
-    'SEARCH_STEP_SECONDS',
+    'RETRY_WINDOW_SECONDS',
+    'MIN_SERVING_SHARE',
+    'TRIAL_INTERVAL_SECONDS',
+    'ROUTER_REMOVAL_SECONDS',
+    'SEARCH_TIMEOUT_SECONDS',
+    'SEARCH_STEP_TIMEOUT_SECONDS',
     'SETTLING_SECONDS',
-    'STOP_SECONDS',
-    'THIN_LINK_FACTOR',
+    'MAX_STOP_SECONDS',
+    'SLOW_LINK_FACTOR',
     'TIMER_SECONDS',
-    'TRAVEL_SECONDS',
-    'WARM_UP_SLOTS',
+    'TRANSIT_JITTER_SECONDS',
+    'WARM_UP_SLOT_SHARE',
     'UNLISTED_SECONDS',
-    'YIELD_SECONDS',
-    'YOUNG_REPORTS',
+    'WITHDRAW_DELAY_SECONDS',
+    'MAX_STARTUP_REPORTS',
 )
 
 #: Interval of the timer.
@@ -107,13 +107,13 @@
 MAX_FLOWS: Final = 100000
 
 #: The transit times of packets of one caller differ by less than this.
-TRAVEL_SECONDS: Final = 0.05
+TRANSIT_JITTER_SECONDS: Final = 0.05
 
 #: A caller has abandoned an opening that began this long ago.
-GIVE_UP_SECONDS: Final = openings.OPEN_TIMEOUT_SECONDS - TRAVEL_SECONDS
+ABANDON_SECONDS: Final = openings.OPEN_TIMEOUT_SECONDS - TRANSIT_JITTER_SECONDS
 
 #: How long after that a new flow of the caller is taken for its retry.
-RETRY_SECONDS: Final = 1.0
+RETRY_WINDOW_SECONDS: Final = 1.0
 
 #: Longest pause of a caller between two attempts.  After an outage, callers
 #: whose route allows 2.5 s left 0.9 to 1.0 s after the start of their second
@@ -125,7 +125,7 @@
 RESET_AGE_SECONDS: Final = 0.6
 
 #: How much longer it may have waited: until its last retransmission.
-RESET_DOUBT_SECONDS: Final = 0.8
+RESET_AGE_UNCERTAINTY_SECONDS: Final = 0.8
 
 #: Maximum number of openings that are remembered.  10,000 are a
 #: flood, or the new flows of one node in a minute at the size to design for.
@@ -141,7 +141,7 @@
 
 #: Timeout for the answer of an agent in a search.  It covers several round
 #: trips between availability zones (1.4 ms one way).
-SEARCH_STEP_SECONDS: Final = 0.05
+SEARCH_STEP_TIMEOUT_SECONDS: Final = 0.05
 
 #: Maximum number of agents that are asked for a flow one after the other.
 #: Services with more agents have a directory.
@@ -149,32 +149,32 @@
 
 #: Number of agents of a larger service that are asked concurrently if no
 #: directory covers them.  This takes seven round trips for 50 agents.
-ASKED_AT_ONCE: Final = 8
+SEARCH_FANOUT: Final = 8
 
 #: Timeout for the answer of a directory node.  On the slowest balancers, with
 #: 0.16 of a core, the questions and answers of an outage take up to 0.07 s of
 #: processor time each way.
-LOOKUP_SECONDS: Final = 0.15
+LOOKUP_TIMEOUT_SECONDS: Final = 0.15
 
 #: Pause before the directory is asked again while it does not yet know the
 #: flows of some agents.
-LOOKUP_AGAIN_SECONDS: Final = 0.1
+LOOKUP_RETRY_SECONDS: Final = 0.1
 
 #: Maximum number of cached lists of the agents that directory nodes do not
 #: cover.  The lists change with each agent that registers.
-MAX_UNSPOKEN: Final = 64
+MAX_CACHED_UNCOVERED: Final = 64
 
 #: Pause between notices to an agent that a directory does not cover.
-NOTICE_AGAIN_SECONDS: Final = 0.5
+NOTICE_INTERVAL_SECONDS: Final = 0.5
 
 #: When all directory nodes have answered but cover few agents, the remaining
 #: agents are asked after this pause.  Agents that can be covered register
 #: every 0.1 s when they start.
-COVERAGE_SECONDS: Final = 0.1
+COVERAGE_WAIT_SECONDS: Final = 0.1
 
 #: After this long without an answer of the directory, all agents are asked,
 #: one after the other.  Both nodes of a shard may be down.
-DIRECTORY_SECONDS: Final = 0.45
+DIRECTORY_TIMEOUT_SECONDS: Final = 0.45
 
 #: Period after the first catalog in which a caller that is new to this process
 #: may have tried before.  Its first attempt ends within one opening timeout,
@@ -182,18 +182,18 @@
 SETTLING_SECONDS: Final = 2 * openings.OPEN_TIMEOUT_SECONDS
 
 #: A search without a result expires after this, and may start anew.
-SEARCH_SECONDS: Final = 1.0
+SEARCH_TIMEOUT_SECONDS: Final = 1.0
 
 #: A caller that sent no packet for this long has left.  One that waits for an
 #: answer retransmits its packet after 1.6 s at the latest.
-REPEAT_SECONDS: Final = 1.8
+CALLER_SILENCE_SECONDS: Final = 1.8
 
 #: Pause between two polls of an agent, which make it continue to send reports.
-HELLO_SECONDS: Final = 1.0
+POLL_INTERVAL_SECONDS: Final = 1.0
 
 #: Pause between two polls of an agent in another availability zone.  Traffic
 #: between zones costs, and few flows go there.
-FAR_ASK_SECONDS: Final = 2.0
+REMOTE_POLL_INTERVAL_SECONDS: Final = 2.0
 
 #: With fewer agents than this in the own availability zone, all agents are
 #: polled alike.  The others also serve its flows, and their messages show that
@@ -203,15 +203,15 @@
 #: With more agents than this, polls are rare, and reports come with the
 #: answers to offered flows.  At the size to design for these are 92 a second,
 #: or 4 KB/s.
-MAX_GREETED: Final = 64
+MAX_POLLED_AGENTS: Final = 64
 
 #: Polls in each interval of the timer in that case.  This makes 10 a second.
-GREETINGS_AT_ONCE: Final = 1
+POLLS_PER_TICK: Final = 1
 
 #: An agent that owes a reply for this long gets no new flows while there are
 #: others.  Reports come at least every 0.25 s, and a caller sends its second
 #: copy after 0.6 s.
-QUIET_SECONDS: Final = 0.35
+UNRESPONSIVE_SECONDS: Final = 0.35
 
 #: A balancer without a message from any other process for this long is
 #: isolated, and reports that it is not ready.  Each agent sends every 0.25 s.
@@ -226,7 +226,7 @@
 MAX_PARKED: Final = 5000
 
 #: How long an upstream whose entry is missing is still asked for its flows.
-GONE_SECONDS: Final = catalog_defaults.ENTRY_RECOVERY_SECONDS
+MISSING_ENTRY_SECONDS: Final = catalog_defaults.ENTRY_RECOVERY_SECONDS
 
 #: How long an agent is asked for flows of a service for which the catalog does
 #: not list its host any longer, or not yet.  Another balancer may offer it
@@ -238,7 +238,7 @@
 #: for the hosts that they list, with the following pause in between.  It has
 #: heard from all of a small fleet after a few rounds.
 INHERIT_SECONDS: Final = 2.5
-INHERIT_PAUSE_SECONDS: Final = 1.0
+INHERIT_INTERVAL_SECONDS: Final = 1.0
 
 #: Maximum number of balancers of which it is remembered that they were
 #: answered.  Each of them is sent one message.
@@ -246,98 +246,98 @@
 
 #: Cost of placing a flow in another availability zone, as a multiple of the
 #: slots of an upstream.
-REMOTE_LOAD: Final = 2.0
+REMOTE_ZONE_COST: Final = 2.0
 
 #: Load, as a multiple of the slots of an upstream, above which new flows wait
 #: for a long time there.
-QUEUE_LOAD: Final = 4.0
+QUEUE_LOAD_THRESHOLD: Final = 4.0
 
 #: Queues whose lengths differ by less than this factor count as equal.
-QUEUE_STEP: Final = 1.5
+QUEUE_STEP_FACTOR: Final = 1.5
 
 #: Share of the slots that is counted for an upstream during its warm-up.  Such
 #: upstreams take about 1.6 times as long for a request.
-WARM_UP_SLOTS: Final = 0.6
+WARM_UP_SLOT_SHARE: Final = 0.6
 
 #: Maximum number of reports that an upstream writes in its first seconds: one
 #: when it starts and one every 1.2 s while it is cold, for 2 s.  The limit is
 #: twice as many.
-YOUNG_REPORTS: Final = 6
+MAX_STARTUP_REPORTS: Final = 6
 
 #: Pause between two gossip rounds.
-GOSSIP_SECONDS: Final = 0.5
+GOSSIP_INTERVAL_SECONDS: Final = 0.5
 
 #: Maximum number of other balancers that a message lists.  In a fleet with at
 #: most as many others, each message goes to all of them.
 MAX_GOSSIP_PEERS: Final = 8
 
 #: Number of receivers of a change in a larger fleet, chosen in turn.
-GOSSIP_AT_ONCE: Final = 2
+GOSSIP_FANOUT: Final = 2
 
 #: Number of balancers that are sent a message and probed in each round.
-PROBES_AT_ONCE: Final = 1
+PROBE_FANOUT: Final = 1
 
 #: Number of receivers of each message from a balancer that reads the store.
-READER_GOSSIP_PEERS: Final = catalog_defaults.READER_FANOUT
+READER_GOSSIP_FANOUT: Final = catalog_defaults.READER_FANOUT
 
 #: In a small fleet a balancer that was silent for this long is removed.
-PEER_SECONDS: Final = 10.0
+PEER_TIMEOUT_SECONDS: Final = 10.0
 
 #: A balancer that owes a reply to a probe for this long is suspected.  It is
 #: probed twice in this time, since one message in ten may be lost on degraded
 #: links.
-ANSWER_SECONDS: Final = 0.95
+PROBE_TIMEOUT_SECONDS: Final = 0.95
 
 #: A balancer that did not refute a suspicion for this long is lost.  The
 #: suspicion reaches it within a round of 0.5 s, and its answer reaches all
 #: others of 370 within two more rounds (experiments.membership_model).
-SUSPECT_SECONDS: Final = 1.4
+SUSPICION_TIMEOUT_SECONDS: Final = 1.4
 
 #: A longer time between two rounds means that this process was paused.
-PAUSED_SECONDS: Final = 1.2
+MAX_ROUND_GAP_SECONDS: Final = 1.2
 
 #: Maximum number of changes of status in one message, which are 144 octets.
 MAX_CHANGES: Final = 16
 
 #: A change is sent this many times the binary logarithm of the size of the
 #: fleet.  SWIM finds a factor of three sufficient.
-NEWS_FACTOR: Final = 3
+RETRANSMIT_FACTOR: Final = 3
 
 #: Maximum number of infos about other balancers in one message.  They are 56
 #: octets, besides the own one.
-MAX_PLACES: Final = 4
+MAX_RELAYED_INFOS: Final = 4
 
 #: A link is slow if others of the zone are this many times as fast.  At loads
 #: that those can carry, uploads of callers wait on the slow link.
-THIN_LINK_FACTOR: Final = 4
+SLOW_LINK_FACTOR: Final = 4
 
 #: Number of balancers with fast links that must take callers in the zone
 #: before one with a slow link withdraws.  One of them may fail at any moment.
-FEWEST_WIDE_LINKS: Final = 2
+MIN_FAST_LINKS: Final = 2
 
 #: A balancer with a slow link withdraws only when the condition for it has
 #: held for this long.  One with a fast link is back within two seconds of a
 #: restart.
-YIELD_SECONDS: Final = 2.0
+WITHDRAW_DELAY_SECONDS: Final = 2.0
 
 #: An opening packet that is returned later than this does not prove that its
 #: flow is not open: a copy may have been answered elsewhere.  It covers
 #: several round trips between availability zones, and is shorter than the
 #: pauses of callers between copies.
-OPENED_SECONDS: Final = 0.05
+ANSWERED_ELSEWHERE_SECONDS: Final = 0.05
 
 #: Ejected upstreams are excluded while the others have at least this share of
 #: the slots of a service.  With a smaller share most requests would wait too
 #: long, and a failure of most upstreams has another cause than the upstreams.
-SERVING_SHARE: Final = 0.5
+MIN_SERVING_SHARE: Final = 0.5
 
 #: With more upstreams of a service, that share is not computed anew for each
 #: flow.  For 1,000 upstreams this takes 0.4 ms.
-MANY_FOR_LEFT_OUT: Final = 64
+EXCLUSION_CACHE_THRESHOLD: Final = 64
 
 #: How long the result is cached, since agents become unresponsive in the
 #: meantime.  It is a tenth of the time after which they count as that.
-LEFT_OUT_SECONDS: Final = 0.035
+EXCLUSION_CACHE_SECONDS: Final = 0.035
 
 #: The agent of an ejected upstream accepts a new flow that was offered this
 #: many times before.  If no other agent is left, it is offered the flow with
@@ -348,11 +348,11 @@
 #: Pause between trial flows from this balancer to one ejected upstream.  Its
 #: agent accepts few at the same time, and each flow that it returns costs the
 #: caller a round trip.
-TRIAL_PAUSE_SECONDS: Final = 0.1
+TRIAL_INTERVAL_SECONDS: Final = 0.1
 
 #: Balancers of other availability zones send a trial flow after this long,
 #: since those near the upstream may get no idempotent request.
-FAR_TRIAL_SECONDS: Final = 1.0
+REMOTE_TRIAL_SECONDS: Final = 1.0
 
 #: A flow of any request becomes a trial after this long without an idempotent
 #: one, but not before agents accept it.
@@ -360,19 +360,19 @@
 
 #: Routers remove a balancer after two failed checks, half a second apart.
 #: Another half second is added for packets in transit.
-ROUTERS_SECONDS: Final = 1.6
+ROUTER_REMOVAL_SECONDS: Final = 1.6
 
 #: Maximum duration of a planned stop.  The platform kills after 6 s.
-STOP_SECONDS: Final = 4.5
+MAX_STOP_SECONDS: Final = 4.5
 
 #: Number of agents that must refuse a new flow for lack of time before the
 #: balancer refuses it.  The reports by which they were chosen were up to 50 ms
 #: old.
-FEWEST_WITHOUT_TIME: Final = 3
+MIN_TIME_REFUSALS: Final = 3
 
 #: Time constant for the decay of a caller's recent flows.  One balancer among
 #: many sees a few flows of each caller in this time.
-SHARE_SECONDS: Final = 20.0
+SHARE_DECAY_SECONDS: Final = 20.0
 
 #: Maximum number of callers whose requests are counted, which takes 1 MB.
 #: Beyond it, those silent for the longest time are forgotten; callers that
@@ -380,7 +380,7 @@
 MAX_CALLERS: Final = 4096
 
 #: How long equal shares are enforced after a refusal.
-PRESSED_SECONDS: Final = 1.0
+PRESSURE_SECONDS: Final = 1.0
 
 #: Factors on the level of equal shares for each flow that is refused below it,
 #: and for each that is offered.  The level adapts within about fifty refusals,
@@ -398,22 +398,22 @@
 LEVEL_PAUSE_SECONDS: Final = 0.05
 
 #: Maximum number of flows that a caller opens for one request.
-CALLER_TRIES: Final = 3
+MAX_CALLER_TRIES: Final = 3
 
 #: How long a retry is expected from a refused caller: its pause between two
 #: attempts and a margin.  A new request of its host in this time is mistaken
 #: for the retry.
-REFUSED_SECONDS: Final = RETRY_PAUSE_SECONDS + 2 * TRAVEL_SECONDS
+REFUSED_RETRY_SECONDS: Final = RETRY_PAUSE_SECONDS + 2 * TRANSIT_JITTER_SECONDS
 
 #: Pause between messages about refused callers, which retry some ten
 #: milliseconds later at the earliest.
-REFUSED_PAUSE_SECONDS: Final = 0.02
+REFUSED_INTERVAL_SECONDS: Final = 0.02
 
 #: Maximum number of balancers to which refused callers are announced, with 50
 #: messages a second each.  In a larger fleet, retries that arrive at another
 #: balancer count as new.
-MAX_REFUSED_TOLD: Final = 64
+MAX_REFUSED_RECEIVERS: Final = 64
 
 #: Maximum number of agents that are asked for capacity.  This takes a few tens
 #: of milliseconds, in which the caller could have tried again.
-MAX_ASKED_FOR_ROOM: Final = 10
+MAX_CAPACITY_OFFERS: Final = 10
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/directories.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/directories.py
@@ -26,7 +26,7 @@
 from keelgap_balancer.packets.events import EnvelopeArrived
 from keelgap_balancer.packets.notices import make_notice
 from keelgap_balancer.packets.state import PacketState
-from keelgap_balancer.packets.views import AgentView, NodeView
+from keelgap_balancer.packets.views import AgentView, DirectoryNodeView
 
 __all__ = (
     'ask_waiting',
@@ -71,7 +71,7 @@
     hosts = sorted(
         view.host
         for view in views
-        if view.gone_since is None and view.upstream.state == 'active'
+        if view.missing_since is None and view.upstream.state == 'active'
     )
     return make_directory(state.catalog.revision, hosts, defaults.MAX_ASKED)
 
@@ -90,11 +90,11 @@
 
 def look_up(state: PacketState, host: str, key: bytes, now: float) -> Effects:
     """Look up a flow at a directory node, or queue it if the node is busy."""
-    node = state.nodes.setdefault(host, NodeView())
+    node = state.nodes.setdefault(host, DirectoryNodeView())
     node.waiting[key] = None
     asked_at = node.asked_at
     is_busy = asked_at is not None and (
-        now - asked_at < defaults.LOOKUP_SECONDS
+        now - asked_at < defaults.LOOKUP_TIMEOUT_SECONDS
     )
     return () if is_busy else ask_waiting(state, host, node, now)
 
@@ -108,9 +108,9 @@
     Raises MalformedEnvelope.
     """
     lookup = unpack_lookup_response(event.envelope.content)
-    node = state.nodes.setdefault(event.sender, NodeView())
+    node = state.nodes.setdefault(event.sender, DirectoryNodeView())
     node.asked_at = None
-    node.is_asked_again = False
+    node.was_asked_again = False
     return lookup, ask_waiting(state, event.sender, node, event.now)
 
 
@@ -120,7 +120,7 @@
     Raises MalformedEnvelope.
     """
     coverage = unpack_coverage(event.envelope.content)
-    node = state.nodes.setdefault(event.sender, NodeView())
+    node = state.nodes.setdefault(event.sender, DirectoryNodeView())
     if not coverage.part:
         node.parts = {}
     node.parts[coverage.part] = coverage.hosts
@@ -146,9 +146,9 @@
     service = state.by_host[host].upstream.service
     effects = []
     for view in state.by_service.get(service, ()):
-        is_due = now - view.noticed_at >= defaults.NOTICE_AGAIN_SECONDS
+        is_due = now - view.last_notice_at >= defaults.NOTICE_INTERVAL_SECONDS
         if view.host not in covered and is_due:
-            view.noticed_at = now
+            view.last_notice_at = now
             notice = make_notice(state, view, now)
             effects.append(
                 view.send(EnvelopeKind.ASK, notice, REPORT_FORMAT),
@@ -159,7 +159,7 @@
 def ask_waiting(
     state: PacketState,
     host: str,
-    node: NodeView,
+    node: DirectoryNodeView,
     now: float,
 ) -> Effects:
     """Look up the flows that are queued for a directory node."""
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/ejection.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/ejection.py
@@ -16,11 +16,11 @@
 from keelgap_balancer.packets.views import AgentView
 
 __all__ = (
-    'choose_kind',
-    'choose_trial',
-    'find_left_out',
+    'choose_envelope_kind',
+    'choose_trial_upstream',
+    'find_excluded',
     'forget_ejections',
-    'note_ejection',
+    'record_ejection',
 )
 
 Effects = tuple[PacketEffect, ...]
@@ -28,7 +28,7 @@
 _READMITTED_EVENT: Final = 'upstream_taken_in'
 
 
-def note_ejection(
+def record_ejection(
     state: PacketState,
     view: AgentView,
     report: LoadReport,
@@ -60,7 +60,7 @@
             state.ejections.wanting.pop(view, None)
 
 
-def find_left_out(
+def find_excluded(
     state: PacketState,
     service: str,
     now: float,
@@ -77,17 +77,17 @@
     if not any(view.upstream.service == service for view in out):
         return ()
     views = state.by_service.get(service, ())
-    if len(views) <= defaults.MANY_FOR_LEFT_OUT:
-        return out if _do_others_suffice(state, views, now) else ()
+    if len(views) <= defaults.EXCLUSION_CACHE_THRESHOLD:
+        return out if _has_enough_slots(state, views, now) else ()
     known = state.ejections.decisions.get(service)
     if known is None or not known.is_valid(views, now):
-        suffice = _do_others_suffice(state, views, now)
+        suffice = _has_enough_slots(state, views, now)
         known = LeftOutDecision(views, now, do_others_suffice=suffice)
         state.ejections.decisions[service] = known
     return out if known.do_others_suffice else ()
 
 
-def choose_trial(
+def choose_trial_upstream(
     state: PacketState,
     route: PacketRoute,
     service: str,
@@ -108,12 +108,12 @@
             continue
         if _should_defer_trial(state, view, route, waited):
             continue
-        view.tried_at = now
+        view.last_trial_at = now
         return view
     return None
 
 
-def choose_kind(
+def choose_envelope_kind(
     state: PacketState,
     view: AgentView,
     route: PacketRoute,
@@ -124,7 +124,7 @@
     return EnvelopeKind.OPEN
 
 
-def _do_others_suffice(
+def _has_enough_slots(
     state: PacketState,
     views: tuple[AgentView, ...],
     now: float,
@@ -136,19 +136,19 @@
         if _is_candidate(state, view, now):
             all_slots += view.upstream.slots
             ejected_slots += view.upstream.slots * (view in state.ejections.out)
-    return all_slots - ejected_slots >= defaults.SERVING_SHARE * all_slots
+    return all_slots - ejected_slots >= defaults.MIN_SERVING_SHARE * all_slots
 
 
 def _may_send_trial(state: PacketState, view: AgentView, now: float) -> bool:
-    is_due = now - view.tried_at >= defaults.TRIAL_PAUSE_SECONDS
+    is_due = now - view.last_trial_at >= defaults.TRIAL_INTERVAL_SECONDS
     return is_due and _is_candidate(state, view, now)
 
 
 def _is_candidate(state: PacketState, view: AgentView, now: float) -> bool:
     """Return whether new flows may go to an upstream, ejected or not."""
     return (
-        view.is_open()
-        and not view.is_quiet(now)
+        view.accepts_flows()
+        and not view.is_unresponsive(now)
         and not state.is_evacuated(view)
     )
 
@@ -162,7 +162,7 @@
     """Return whether to leave the trial of an upstream to another flow."""
     if not route.is_idempotent:
         return waited < defaults.ANY_TRIAL_SECONDS
-    return not state.is_near(view) and waited < defaults.FAR_TRIAL_SECONDS
+    return not state.is_near(view) and waited < defaults.REMOTE_TRIAL_SECONDS
 
 
 def _log_change(
@@ -177,10 +177,10 @@
     views = [
         one
         for one in state.by_service.get(upstream.service, ())
-        if one.is_open() and not state.is_evacuated(one)
+        if one.accepts_flows() and not state.is_evacuated(one)
     ]
     ejected = [one for one in views if one in state.ejections.out]
-    excluded = find_left_out(state, upstream.service, now)
+    excluded = find_excluded(state, upstream.service, now)
     fields = {
         'upstream': upstream.upstream_id,
         'service': upstream.service,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/giving_up.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/giving_up.py
@@ -34,9 +34,9 @@
     and is resumed before its caller repeats its packet.  A caller that has not
     repeated its packet has left, whatever the state of the search.
     """
-    if now - search.heard > defaults.REPEAT_SECONDS:
+    if now - search.heard > defaults.CALLER_SILENCE_SECONDS:
         return True
-    has_timed_out = now - search.renewed > defaults.SEARCH_SECONDS
+    has_timed_out = now - search.renewed > defaults.SEARCH_TIMEOUT_SECONDS
     return has_timed_out and not search.is_waiting
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip.py
@@ -19,11 +19,11 @@
 
 from keelgap.catalog.readers import ReaderClaim
 from keelgap.exceptions import KeelgapError
-from keelgap_balancer.packets.peers import Change, Status
-from keelgap_balancer.packets.places import Place
+from keelgap_balancer.packets.balancer_infos import BalancerInfo
+from keelgap_balancer.packets.peers import PeerChange, PeerStatus
 
 __all__ = (
-    'Gossip',
+    'GossipMessage',
     'MalformedGossip',
     'decode_gossip',
     'encode_gossip',
@@ -44,13 +44,13 @@
     code = 'malformed_gossip'
 
 
-class Gossip(NamedTuple):
+class GossipMessage(NamedTuple):
     """A message from one balancer to another."""
 
     #: Revision of the store up to which the sender's catalog is complete.
     revision: int
     #: Whether the sender reads the store, and the store answers it.
-    reads: bool
+    is_reader: bool
     #: Hosts from which the sender received messages most recently.
     peers: tuple[str, ...]
     #: Other balancers that read the store, as far as the sender knows.
@@ -58,23 +58,23 @@
     #: Incarnation of the sender.
     incarnation: int = 0
     #: Whether the sender wants a reply, as a sign that the receiver is alive.
-    asks: bool = False
+    wants_reply: bool = False
     #: Recent changes of status of balancers.
-    changes: tuple[Change, ...] = ()
+    changes: tuple[PeerChange, ...] = ()
     #: Info about the sender, and about other balancers that it relays.
-    places: tuple[Place, ...] = ()
+    balancer_infos: tuple[BalancerInfo, ...] = ()
 
 
-def encode_gossip(gossip: Gossip) -> bytes:
+def encode_gossip(gossip: GossipMessage) -> bytes:
     """Return the octets of a message."""
     head = _HEAD.pack(
         gossip.revision,
-        gossip.reads,
-        gossip.asks,
+        gossip.is_reader,
+        gossip.wants_reply,
         gossip.incarnation,
         len(gossip.peers),
         len(gossip.changes),
-        len(gossip.places),
+        len(gossip.balancer_infos),
     )
     hosts = map(socket.inet_aton, gossip.peers)
     changes = [
@@ -83,9 +83,9 @@
         )
         for change in gossip.changes
     ]
-    places = [
+    balancer_infos = [
         _BALANCER_INFO.pack(socket.inet_aton(place.host), *place[1:])
-        for place in gossip.places
+        for place in gossip.balancer_infos
     ]
     claims = [
         _CLAIM.pack(
@@ -94,26 +94,26 @@
         )
         for claim in gossip.claims
     ]
-    return b''.join((head, *hosts, *changes, *places, *claims))
+    return b''.join((head, *hosts, *changes, *balancer_infos, *claims))
 
 
-def decode_gossip(content: bytes) -> Gossip:
+def decode_gossip(content: bytes) -> GossipMessage:
     """Return the message in some octets; raise MalformedGossip."""
     try:
         head = _HEAD.unpack_from(content)
     except struct.error as error:
         raise MalformedGossip(len(content)) from error
-    revision, reads, asks, incarnation, *counts = head
+    revision, is_reader, wants_reply, incarnation, *counts = head
     host_octets, change_octets, info_octets, claim_octets = _split_parts(
         content, counts
     )
-    return Gossip(
+    return GossipMessage(
         revision,
-        reads,
+        is_reader,
         tuple(_iterate_hosts(host_octets)),
         tuple(_iterate_claims(claim_octets)),
         incarnation,
-        asks,
+        wants_reply,
         tuple(_iterate_changes(change_octets)),
         tuple(_iterate_infos(info_octets)),
     )
@@ -144,18 +144,18 @@
         yield ReaderClaim(socket.inet_ntoa(host), age / _MILLISECONDS)
 
 
-def _iterate_changes(octets: bytes) -> Iterator[Change]:
+def _iterate_changes(octets: bytes) -> Iterator[PeerChange]:
     for host, incarnation, status in _CHANGE.iter_unpack(octets):
         try:
-            change_status = Status(status)
+            change_status = PeerStatus(status)
         except ValueError as error:
             raise MalformedGossip(status) from error
-        yield Change(socket.inet_ntoa(host), incarnation, change_status)
+        yield PeerChange(socket.inet_ntoa(host), incarnation, change_status)
 
 
-def _iterate_infos(octets: bytes) -> Iterator[Place]:
+def _iterate_infos(octets: bytes) -> Iterator[BalancerInfo]:
     for host, *rest in _BALANCER_INFO.iter_unpack(octets):
-        yield Place(socket.inet_ntoa(host), *rest)
+        yield BalancerInfo(socket.inet_ntoa(host), *rest)
 
 
 def _iterate_hosts(octets: bytes) -> Iterator[str]:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
@@ -16,15 +16,15 @@
 from keelgap.runtime.lines import MAX_LISTED
 from keelgap.sockets import send_datagram
 from keelgap_balancer.packets import defaults
+from keelgap_balancer.packets.balancer_infos import BalancerInfoTable
 from keelgap_balancer.packets.effects import TellBalancers
 from keelgap_balancer.packets.gossip import (
-    Gossip,
+    GossipMessage,
     MalformedGossip,
     decode_gossip,
     encode_gossip,
 )
-from keelgap_balancer.packets.peers import Peers
-from keelgap_balancer.packets.places import Places
+from keelgap_balancer.packets.peers import PeerTable
 
 __all__ = ('GossipDriver',)
 
@@ -35,8 +35,8 @@
     def __init__(
         self,
         process: PacketProcess,
-        peers: Peers,
-        places: Places,
+        peers: PeerTable,
+        balancer_infos: BalancerInfoTable,
         catalog: CatalogDriver,
         make_stamp: Callable[[], Stamp],
         control_port: int,
@@ -44,8 +44,8 @@
         """Take the port on which all balancers serve their catalogs."""
         self.process = process
         self.peers = peers
-        self.places = places
-        self.readers = ReaderElection(peers.own)
+        self.balancer_infos = balancer_infos
+        self.readers = ReaderElection(peers.own_host)
         self.catalog = catalog
         self.make_stamp = make_stamp
         self.control_port = control_port
@@ -58,7 +58,9 @@
         """Begin to send messages at regular intervals."""
         self.sock = sock
         self.peer_port = peer_port
-        self.process.loop.call_every(defaults.GOSSIP_SECONDS, self._run_round)
+        self.process.loop.call_every(
+            defaults.GOSSIP_INTERVAL_SECONDS, self._run_round
+        )
         self.send_gossip()
 
     def send_gossip(self, *, is_round: bool = False) -> None:
@@ -67,14 +69,14 @@
         # that they cannot rely on it.
         is_reader = self.readers.is_reader
         now = self.process.loop.clock()
-        receivers = self.peers.list_receivers(
+        receivers = self.peers.select_receivers(
             is_reader=is_reader,
             is_round=is_round,
         )
         for position, host in enumerate(receivers):
-            may_probe = is_round and self.peers.is_asked(host, position)
-            asks = may_probe and self.peers.probe(host, now)
-            self._send_to_peer(host, asks=asks)
+            may_probe = is_round and self.peers.should_probe(host, position)
+            wants_reply = may_probe and self.peers.start_probe(host, now)
+            self._send_to_peer(host, wants_reply=wants_reply)
 
     def broadcast(self, effect: TellBalancers) -> None:
         """Send an envelope with other contents to the other balancers."""
@@ -88,7 +90,9 @@
             content=effect.content,
         )
         datagram = pack_envelope(envelope, self.make_stamp())
-        for host in tuple(self.peers.heard)[: defaults.MAX_REFUSED_TOLD]:
+        for host in tuple(self.peers.last_heard)[
+            : defaults.MAX_REFUSED_RECEIVERS
+        ]:
             send_datagram(self.sock, datagram, (host, self.peer_port))
 
     def handle_message(self, envelope: Envelope, host: str) -> None:
@@ -100,12 +104,14 @@
             return
         now = self.process.loop.clock()
         self._record_claims(host, gossip, now)
-        self.places.take(gossip.places)
-        found = self.peers.take(gossip.changes, now)
-        if self.peers.note(host, gossip.incarnation, gossip.peers, now):
+        self.balancer_infos.merge(gossip.balancer_infos)
+        found = self.peers.merge(gossip.changes, now)
+        if self.peers.record_message(
+            host, gossip.incarnation, gossip.peers, now
+        ):
             found = (*found, host)
             self._send_to_peer(host)
-        elif gossip.asks:
+        elif gossip.wants_reply:
             self._send_to_peer(host)
         self.found.update(found)
         peer = Address(host, self.control_port)
@@ -118,26 +124,28 @@
     def _run_round(self) -> None:
         now = self.process.loop.clock()
         lost = self.peers.tick(now)
-        self.places.forget(lost)
+        self.balancer_infos.forget(lost)
         self._log_changes(lost)
         self._update_reader_role(now)
         self.send_gossip(is_round=True)
 
     def _update_reader_role(self, now: float) -> None:
         was_reader = self.readers.is_reader
-        reads = self.readers.decide(now, self.peers.heard)
-        self.catalog.set_reader_role(reads, len(self.peers.heard) + 1)
-        if reads != was_reader:
+        is_reader = self.readers.decide(now, self.peers.last_heard)
+        self.catalog.set_reader_role(is_reader, len(self.peers.last_heard) + 1)
+        if is_reader != was_reader:
             self.process.lines.tell(
-                'reading_store' if reads else 'following_readers',
+                'reading_store' if is_reader else 'following_readers',
                 other_readers=self.readers.list_fresh(now),
                 revision=self.catalog.state.revision,
             )
 
-    def _record_claims(self, host: str, gossip: Gossip, now: float) -> None:
+    def _record_claims(
+        self, host: str, gossip: GossipMessage, now: float
+    ) -> None:
         for claim in gossip.claims:
             self.readers.record_claim(claim, now)
-        if gossip.reads:
+        if gossip.is_reader:
             self.readers.record_claim(ReaderClaim(host, 0), now)
         else:
             self.readers.record_withdrawal(host, now)
@@ -149,23 +157,23 @@
                 'balancers_changed',
                 found=len(self.found),
                 lost=len(lost),
-                known=len(self.peers.heard),
+                known=len(self.peers.last_heard),
                 found_hosts=sorted(self.found)[:MAX_LISTED],
                 lost_hosts=lost[:MAX_LISTED],
             )
             self.found.clear()
 
-    def _send_to_peer(self, host: str, *, asks: bool = False) -> None:
+    def _send_to_peer(self, host: str, *, wants_reply: bool = False) -> None:
         catalog_state = self.catalog.state
-        gossip = Gossip(
+        gossip = GossipMessage(
             catalog_state.revision if catalog_state.complete else 0,
             self._is_active_reader,
-            self.peers.list_latest(),
+            self.peers.list_recent_peers(),
             self.readers.make_claims(self.process.loop.clock()),
             self.peers.incarnation,
-            asks,
-            self.peers.take_news(),
-            self.places.make_rows(),
+            wants_reply,
+            self.peers.take_updates(),
+            self.balancer_infos.take_updates(),
         )
         envelope = Envelope(
             EnvelopeKind.GOSSIP,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/greeting.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/greeting.py
@@ -24,11 +24,11 @@
 
 def greet_agents(state: PacketState, now: float) -> Effects:
     """Request load reports from the agents that are due."""
-    if len(state.by_host) > defaults.MAX_GREETED:
+    if len(state.by_host) > defaults.MAX_POLLED_AGENTS:
         batch = _next_batch(state)
     else:
         batch = [
-            view for view in state.by_host.values() if view.hello_at <= now
+            view for view in state.by_host.values() if view.next_poll_at <= now
         ]
     is_zone_sparse = state.greeting.near_agents < defaults.MIN_NEAR_AGENTS
     effects = []
@@ -36,10 +36,10 @@
         view.expect_answer(now)
         notice = make_notice(state, view, now)
         if is_zone_sparse or state.is_near(view):
-            view.hello_at = now + defaults.HELLO_SECONDS
+            view.next_poll_at = now + defaults.POLL_INTERVAL_SECONDS
             effects.append(view.send(EnvelopeKind.HELLO, notice, REPORT_FORMAT))
         else:
-            view.hello_at = now + defaults.FAR_ASK_SECONDS
+            view.next_poll_at = now + defaults.REMOTE_POLL_INTERVAL_SECONDS
             effects.append(view.send(EnvelopeKind.ASK, notice, REPORT_FORMAT))
     return tuple(effects)
 
@@ -51,7 +51,7 @@
     an order would poll each agent at the same moment, and then not again for
     many seconds.
     """
-    batch = list(islice(state.greeting.left, defaults.GREETINGS_AT_ONCE))
+    batch = list(islice(state.greeting.left, defaults.POLLS_PER_TICK))
     if not batch:
         seed = state.greeting.seed
         state.greeting.left = iter(
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/inheriting.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/inheriting.py
@@ -46,7 +46,7 @@
         return ()
     asked_at = state.holders.asked.get(host, float('-inf'))
     is_over = now - informed_at > defaults.INHERIT_SECONDS
-    if is_over or now - asked_at < defaults.INHERIT_PAUSE_SECONDS:
+    if is_over or now - asked_at < defaults.INHERIT_INTERVAL_SECONDS:
         return ()
     state.holders.asked[host] = now
     question = ServedHostsRequest(
@@ -73,7 +73,7 @@
     return [
         ServedHost(view.host, view.service_tag)
         for view in state.by_host.values()
-        if view.gone_since is None
+        if view.missing_since is None
     ]
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/membership.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/membership.py
@@ -9,7 +9,7 @@
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.directories import change_directories
 from keelgap_balancer.packets.effects import Decided, PacketEffect
-from keelgap_balancer.packets.notices import tell_zones
+from keelgap_balancer.packets.notices import notify_zones
 from keelgap_balancer.packets.state import FormerRoute, PacketState
 from keelgap_balancer.packets.unlisted import note_displaced
 from keelgap_balancer.packets.views import AgentView
@@ -42,7 +42,7 @@
         state.holders.gap_at = now
     by_host = state.by_host
     effects = _apply_upstreams(state, catalog, now)
-    _index(state)
+    _rebuild_indexes(state)
     note_displaced(state, by_host, now)
     return (
         *effects,
@@ -70,7 +70,7 @@
     }
     return (
         Decided('zones_changed', fields),
-        *tell_zones(state, frozenset(left | returned), now),
+        *notify_zones(state, frozenset(left | returned), now),
     )
 
 
@@ -105,7 +105,7 @@
             changed.setdefault(change, []).append(upstream_id)
     for missed in catalog.missed:
         if missed.identity not in state.agents:
-            _take_missed(state, missed, now)
+            _add_missed(state, missed, now)
             changed.setdefault('missed', []).append(missed.upstream_id)
     listed = {one.identity for one in catalog.upstreams.values()}
     missing = [
@@ -138,12 +138,12 @@
         state.agents[identity] = AgentView(upstream, now)
         return 'added'
     before = view.upstream.state
-    view.change_upstream(upstream, now)
+    view.update_upstream(upstream, now)
     state.gone.discard(identity)
     return '' if before == upstream.state else upstream.state
 
 
-def _take_missed(
+def _add_missed(
     state: PacketState,
     upstream: PacketUpstream,
     now: float,
@@ -153,7 +153,7 @@
     It may still be running, with flows that other balancers opened there.
     """
     view = AgentView(upstream, now)
-    view.gone_since = now
+    view.missing_since = now
     state.agents[upstream.identity] = view
     state.gone.add(upstream.identity)
 
@@ -168,7 +168,7 @@
     if identity.upstream_id in catalog.upstreams:
         _replace_process(state, identity, now)
         return 'restarted'
-    state.agents[identity].gone_since = now
+    state.agents[identity].missing_since = now
     state.gone.add(identity)
     return 'gone'
 
@@ -183,7 +183,7 @@
     It cannot return, so no search waits for it.  Whether the upstream still
     has a flow is decided by the answers of the agents alone.
     """
-    state.agents.pop(identity).end(now)
+    state.agents.pop(identity).mark_replaced(now)
     state.gone.discard(identity)
 
 
@@ -214,7 +214,7 @@
     )
 
 
-def _index(state: PacketState) -> None:
+def _rebuild_indexes(state: PacketState) -> None:
     """Index the agents by service and by host.
 
     An address may be reused before the entry of its former upstream expires.
@@ -257,7 +257,7 @@
 
 
 def _get_host_precedence(view: AgentView) -> tuple[bool, int]:
-    return view.gone_since is None, view.upstream.revision
+    return view.missing_since is None, view.upstream.revision
 
 
 def forget_former_routes(state: PacketState, now: float) -> None:
@@ -272,10 +272,10 @@
 
 
 def _is_expired(view: AgentView, now: float) -> bool:
-    since = view.gone_since
-    if since is None or now - since <= defaults.GONE_SECONDS:
+    since = view.missing_since
+    if since is None or now - since <= defaults.MISSING_ENTRY_SECONDS:
         return False
-    return now - view.last_heard > defaults.GONE_SECONDS
+    return now - view.last_heard > defaults.MISSING_ENTRY_SECONDS
 
 
 def forget_gone(state: PacketState, now: float) -> None:
@@ -289,4 +289,4 @@
         state.agents.pop(identity)
         state.gone.discard(identity)
     if expired:
-        _index(state)
+        _rebuild_indexes(state)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/notices.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/notices.py
@@ -11,7 +11,7 @@
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.views import AgentView
 
-__all__ = ('make_notice', 'tell_zones')
+__all__ = ('make_notice', 'notify_zones')
 
 Effects = tuple[PacketEffect, ...]
 _MILLISECONDS: Final = 1000
@@ -27,17 +27,17 @@
     identified all the same, since many start together with their agents.
     """
     upstream = view.upstream
-    is_recent_start = now < view.young_until
+    is_recent_start = now < view.startup_until
     is_identified = is_recent_start or not state.is_behind
     directory = state.directories.get(upstream.service, NO_DIRECTORY)
     services = state.catalog.routes.services
     limits = services.get(upstream.service, _NO_LIMITS)
-    warm_up = max(view.warm_at - now, 0)
+    warm_up = max(view.warm_up_until - now, 0)
     return pack_notice(
         UpstreamNotice(
             revision=state.catalog.revision,
             shards=directory.shards,
-            upstream_tag=view.seed if is_identified else 0,
+            upstream_tag=view.start_hash if is_identified else 0,
             upstream_revision=upstream.revision if is_identified else 0,
             is_recent_start=is_recent_start,
             is_evacuated=state.is_evacuated(view),
@@ -47,7 +47,7 @@
     )
 
 
-def tell_zones(
+def notify_zones(
     state: PacketState,
     zones: frozenset[str],
     now: float,
@@ -58,7 +58,7 @@
     change.  In a large fleet only the balancers of the same zone send them:
     at the size to design for, each agent gets 124 notices instead of 2,600.
     """
-    is_small = len(state.by_host) <= defaults.MAX_GREETED
+    is_small = len(state.by_host) <= defaults.MAX_POLLED_AGENTS
     return tuple(
         view.send(
             EnvelopeKind.ASK,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/openings.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/openings.py
@@ -8,19 +8,25 @@
     Excess,
     find_excess,
     get_queue,
-    has_asked_enough,
-    list_full,
+    has_enough_refusals,
+    list_full_hosts,
+)
+from keelgap_balancer.packets.caller_waits import (
+    get_caller_host,
+    make_caller_wait,
 )
-from keelgap_balancer.packets.ages import get_host, make_wait
 from keelgap_balancer.packets.effects import (
     Decided,
     PacketEffect,
     SendReset,
 )
-from keelgap_balancer.packets.ejection import choose_kind, choose_trial
+from keelgap_balancer.packets.ejection import (
+    choose_envelope_kind,
+    choose_trial_upstream,
+)
+from keelgap_balancer.packets.latency_placement.notes import record_placement
 from keelgap_balancer.packets.parking import park
-from keelgap_balancer.packets.placement import choose_service, choose_taker
-from keelgap_balancer.packets.placing.notes import note_placement
+from keelgap_balancer.packets.placement import choose_agent, choose_service
 from keelgap_balancer.packets.refusals import note_refusal
 from keelgap_balancer.packets.searches import Search
 from keelgap_balancer.packets.state import PacketState
@@ -54,7 +60,7 @@
 ) -> Effects:
     """Offer a new flow to an agent; offer copies of its packet to the same."""
     effects = _open_flow(state, key, datagram, now)
-    state.ages.note_passed(key, now)
+    state.caller_waits.record_forwarded(key, now)
     return effects
 
 
@@ -78,7 +84,7 @@
     if owner is None:
         return _place_new(state, opening)
     silent: tuple[str, ...] = (owner.host,)
-    if choose_taker(state, route, key, now, silent) is None:
+    if choose_agent(state, route, key, now, silent) is None:
         # There is no other agent, and this one may only be restarting.
         silent = ()
     return _place(state, opening, silent)
@@ -92,9 +98,9 @@
     excess = find_excess(state, route, opening.key, opening.now)
     if excess is not None and _may_reset(state, opening):
         return _reset_over_share(state, opening, excess)
-    host = get_host(opening.key)
+    host = get_caller_host(opening.key)
     queue = get_queue(route, opening.key)
-    state.ages.shares.note_offered(queue, host, opening.now)
+    state.caller_waits.shares.note_offered(queue, host, opening.now)
     return _place(state, opening, ())
 
 
@@ -105,7 +111,7 @@
     flow, while the answer is on its way.
     """
     is_copy = state.format.retransmissions(opening.datagram) > 0
-    return not is_copy or state.ages.was_refused(opening.key)
+    return not is_copy or state.caller_waits.was_refused(opening.key)
 
 
 def _reset_over_share(
@@ -115,12 +121,12 @@
 ) -> Effects:
     """Reset a new flow in favour of callers that received a smaller share."""
     retransmissions = state.format.retransmissions(opening.datagram)
-    state.ages.note_opening(opening.key, retransmissions, opening.now)
+    state.caller_waits.record_opening(opening.key, retransmissions, opening.now)
     fields = {
         'flow': state.format.describe_key(opening.key),
         'route': opening.route.name,
         'priority': opening.route.priority,
-        'got': round(excess.got, 1),
+        'got': round(excess.recent_flows, 1),
         'level': round(excess.level, 1),
     }
     return (
@@ -132,7 +138,7 @@
 
 def _is_choice_valid(state: PacketState, owner: AgentView, now: float) -> bool:
     """Return whether copies of an opening packet go to the same agent."""
-    is_there = owner.gone_since is None and not owner.is_quiet(now)
+    is_there = owner.missing_since is None and not owner.is_unresponsive(now)
     return is_there and not state.is_evacuated(owner)
 
 
@@ -142,10 +148,10 @@
     excluded: tuple[str, ...],
 ) -> Effects:
     key = opening.key
-    state.placing.waits = None
+    state.latency_placement.cross_zone_costs = None
     agent = _choose_trial(state, opening)
     if agent is None:
-        agent = choose_taker(state, opening.route, key, opening.now, excluded)
+        agent = choose_agent(state, opening.route, key, opening.now, excluded)
         agent = agent or _retry_ejected(state, opening)
         if agent is None:
             return _refuse(state, opening)
@@ -155,8 +161,8 @@
             hop = max(opening.hop, defaults.FORCED_ACCEPT_HOP)
             opening = opening._replace(hop=hop)
     state.owners.put(key, agent)
-    agent.picks += 1
-    logged = note_placement(state, agent, opening.route, key, opening.now)
+    agent.flows_since_report += 1
+    logged = record_placement(state, agent, opening.route, key, opening.now)
     return (*_offer(state, agent, opening), *logged)
 
 
@@ -165,7 +171,7 @@
     if opening.hop or not state.ejections.wanting:
         return None
     service = choose_service(opening.route, opening.key)
-    return choose_trial(state, opening.route, service, opening.now)
+    return choose_trial_upstream(state, opening.route, service, opening.now)
 
 
 def _retry_ejected(state: PacketState, opening: Opening) -> AgentView | None:
@@ -173,7 +179,7 @@
     search = state.searches.get(opening.key)
     if search is None or not search.ejected:
         return None
-    agent = choose_taker(
+    agent = choose_agent(
         state,
         opening.route,
         opening.key,
@@ -204,16 +210,16 @@
         return park(state, key, opening.datagram, opening.now)
     state.searches.pop(key, None)
     state.owners.forget(key)
-    state.placing.spans.forget(key)
+    state.latency_placement.flow_durations.forget(key)
     fields = {
         'flow': state.format.describe_key(key),
         'route': opening.route.name,
         'asked': opening.hop,
         'revision': state.catalog.revision,
     }
-    if opening.hop and state.ages.may_be_open(key, opening.now):
+    if opening.hop and state.caller_waits.may_be_open(key, opening.now):
         return (Decided('no_taker_late', fields),)
-    state.ages.note_reset(key, opening.now)
+    state.caller_waits.record_reset(key, opening.now)
     return SendReset(opening.datagram), Decided('reset_no_taker', fields)
 
 
@@ -236,11 +242,15 @@
     agent.expect_answer(now)
     retransmissions = state.format.retransmissions(opening.datagram)
     route = opening.route
-    waited = state.ages.note_opening(opening.key, retransmissions, now)
-    remaining_seconds = route.target_seconds - waited.on_request
-    wait = make_wait(route, waited, is_first_try=not state.is_settling(now))
+    waited = state.caller_waits.record_opening(
+        opening.key, retransmissions, now
+    )
+    remaining_seconds = route.target_seconds - waited.request_seconds
+    wait = make_caller_wait(
+        route, waited, is_first_try=not state.is_settling(now)
+    )
     offer = agent.send(
-        choose_kind(state, agent, route),
+        choose_envelope_kind(state, agent, route),
         opening.datagram,
         opening.hop,
         route.priority,
@@ -277,20 +287,20 @@
     """Offer a flow to another agent, or reset it if none may have capacity."""
     key = opening.key
     route = opening.route
-    full = list_full(state, route, key, opening.now)
+    full = list_full_hosts(state, route, key, opening.now)
     excluded = tuple(search.gave_back)
-    if has_asked_enough(search):
+    if has_enough_refusals(search):
         excluded = tuple(full | search.gave_back)
-    agent = choose_taker(state, route, key, opening.now, excluded)
-    if agent is not None and opening.hop < defaults.MAX_ASKED_FOR_ROOM:
+    agent = choose_agent(state, route, key, opening.now, excluded)
+    if agent is not None and opening.hop < defaults.MAX_CAPACITY_OFFERS:
         return _place(state, opening, excluded)
     state.searches.pop(key, None)
     state.owners.forget(key)
     if not _may_reset(state, opening):
         return (Decided('no_room_for_copy'),)
-    host = get_host(key)
+    host = get_caller_host(key)
     queue = get_queue(route, key)
-    state.ages.shares.note_refused(queue, host, opening.now)
+    state.caller_waits.shares.note_refused(queue, host, opening.now)
     fields = {
         'flow': state.format.describe_key(key),
         'route': route.name,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/parking.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/parking.py
@@ -26,7 +26,7 @@
     state.parked[key] = datagram
     if _is_opening(state, datagram):
         # The age of the opening counts from now, not from when it is routed.
-        state.ages.note_opening(
+        state.caller_waits.record_opening(
             key, state.format.retransmissions(datagram), now
         )
     return (Decided('parked'),)
@@ -46,7 +46,7 @@
         (key, datagram)
         for key, datagram in parked.items()
         if not _is_opening(state, datagram)
-        or not state.ages.is_given_up(key, now)
+        or not state.caller_waits.is_abandoned(key, now)
     ]
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/peers.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/peers.py
@@ -19,10 +19,10 @@
 
 from keelgap_balancer.packets import defaults
 
-__all__ = ('Change', 'Peers', 'Status')
+__all__ = ('PeerChange', 'PeerTable', 'PeerStatus')
 
 
-class Status(IntEnum):
+class PeerStatus(IntEnum):
     """State of another balancer as seen by its peers."""
 
     ALIVE = 0
@@ -30,14 +30,14 @@
     LOST = 2
 
 
-class Change(NamedTuple):
+class PeerChange(NamedTuple):
     """A change of a balancer's status, as it is disseminated."""
 
     host: str
     #: Increased by the balancer whenever it refutes a suspicion; of two
     #: changes the one with the higher incarnation is valid.
     incarnation: int
-    status: Status
+    status: PeerStatus
 
 
 class _Update:
@@ -45,7 +45,7 @@
 
     __slots__ = ('change', 'remaining_sends')
 
-    def __init__(self, change: Change, remaining_sends: int) -> None:
+    def __init__(self, change: PeerChange, remaining_sends: int) -> None:
         self.change = change
         self.remaining_sends = remaining_sends
 
@@ -54,33 +54,33 @@
 _UNKNOWN: Final = -1
 
 
-class Peers:
+class PeerTable:
     """The other balancers that this balancer knows."""
 
     def __init__(
         self,
-        own: str,
+        own_host: str,
         seeds: Iterable[str],
         incarnation: int = 0,
     ) -> None:
         """Start with the seeds, some of which may be gone."""
-        self.own = own
+        self.own_host = own_host
         self.incarnation = incarnation
         self.seeds: tuple[str, ...] = ()
         self.change_seeds(seeds)
         #: Balancers that are alive, and when the latest message came from each
         #: or another balancer reported it alive.
-        self.heard: dict[str, float] = {}
+        self.last_heard: dict[str, float] = {}
         #: Latest known incarnation of each balancer.
         self.incarnations: dict[str, int] = {}
         #: Hosts that other balancers mentioned and that sent no message yet.
         self.unconfirmed: set[str] = set()
         #: Balancers with an unanswered probe, and when it was first sent.
-        self.probed: dict[str, float] = {}
+        self.awaiting_reply: dict[str, float] = {}
         #: Balancers under suspicion, and since when.
         self.suspected: dict[str, float] = {}
         #: Changes still to be disseminated, by host.
-        self.news: dict[str, _Update] = {}
+        self.updates: dict[str, _Update] = {}
         #: Index of the first receiver of the last round.
         self.first_receiver = 0
         self.last_tick_at = float('-inf')
@@ -90,13 +90,13 @@
     @property
     def is_small_fleet(self) -> bool:
         """Return whether each balancer sends to all others."""
-        return len(self.heard) <= defaults.MAX_GOSSIP_PEERS
+        return len(self.last_heard) <= defaults.MAX_GOSSIP_PEERS
 
     def change_seeds(self, seeds: Iterable[str]) -> None:
         """Replace the seeds."""
-        self.seeds = tuple(host for host in seeds if host != self.own)
+        self.seeds = tuple(host for host in seeds if host != self.own_host)
 
-    def note(
+    def record_message(
         self,
         host: str,
         incarnation: int,
@@ -104,66 +104,74 @@
         now: float,
     ) -> bool:
         """Record a message; return whether its sender is new or back."""
-        is_new = host not in self.heard
-        self.heard[host] = now
-        self.probed.pop(host, None)
+        is_new = host not in self.last_heard
+        self.last_heard[host] = now
+        self.awaiting_reply.pop(host, None)
         was_suspected = self.suspected.pop(host, None) is not None
         known = self.incarnations.get(host, _UNKNOWN)
         if incarnation > known:
-            self._record_change(Change(host, incarnation, Status.ALIVE))
+            self._record_change(PeerChange(host, incarnation, PeerStatus.ALIVE))
         elif is_new or was_suspected:
             # Send the suspicion to it, so that it refutes what other balancers
             # may still believe.
-            self._record_change(Change(host, known, Status.SUSPECTED))
+            self._record_change(PeerChange(host, known, PeerStatus.SUSPECTED))
         self.unconfirmed.update(
-            other for other in mentioned if other != self.own
+            other for other in mentioned if other != self.own_host
         )
-        self.unconfirmed -= self.heard.keys()
+        self.unconfirmed -= self.last_heard.keys()
         return is_new
 
-    def take(self, changes: Iterable[Change], now: float) -> tuple[str, ...]:
+    def merge(
+        self, changes: Iterable[PeerChange], now: float
+    ) -> tuple[str, ...]:
         """Apply changes from a peer; return the hosts that are new here."""
         found = [one for one in changes if self._merge_change(one, now)]
         return tuple(one.host for one in found)
 
     def tick(self, now: float) -> tuple[str, ...]:
         """Apply the timeouts; return the hosts that are lost now."""
-        if now - self.last_tick_at > defaults.PAUSED_SECONDS:
+        if now - self.last_tick_at > defaults.MAX_ROUND_GAP_SECONDS:
             # This process was paused; replies may have arrived meanwhile.
-            self.probed.clear()
+            self.awaiting_reply.clear()
             self.suspected = dict.fromkeys(self.suspected, now)
         self.last_tick_at = now
         if not self.is_small_fleet:
             self.small_fleet_since = now
-        for probed_host, since in tuple(self.probed.items()):
-            if now - since >= defaults.ANSWER_SECONDS:
+        for probed_host, since in tuple(self.awaiting_reply.items()):
+            if now - since >= defaults.PROBE_TIMEOUT_SECONDS:
                 self._suspect(probed_host, now)
-        lost = tuple(host for host in self.heard if self._is_lost(host, now))
+        lost = tuple(
+            host for host in self.last_heard if self._is_lost(host, now)
+        )
         for lost_host in lost:
-            change = Change(
-                lost_host, self.incarnations[lost_host], Status.LOST
+            change = PeerChange(
+                lost_host, self.incarnations[lost_host], PeerStatus.LOST
             )
             self._remove(lost_host)
             self._record_change(change)
         return lost
 
-    def is_asked(self, host: str, position: int) -> bool:
+    def should_probe(self, host: str, position: int) -> bool:
         """Return whether to probe a receiver.
 
         That is the first one of a round, and any that owes a reply or is
         suspected.
         """
-        return not position or host in self.probed or host in self.suspected
+        return (
+            not position
+            or host in self.awaiting_reply
+            or host in self.suspected
+        )
 
-    def probe(self, host: str, now: float) -> bool:
+    def start_probe(self, host: str, now: float) -> bool:
         """Expect a reply from a host; return whether to ask it for one."""
-        if self.is_small_fleet or host not in self.heard:
+        if self.is_small_fleet or host not in self.last_heard:
             return False
         if host not in self.suspected:
-            self.probed.setdefault(host, now)
+            self.awaiting_reply.setdefault(host, now)
         return True
 
-    def list_receivers(
+    def select_receivers(
         self,
         *,
         is_reader: bool,
@@ -175,64 +183,68 @@
         suspicion.
         """
         hosts = list(
-            dict.fromkeys((*self.heard, *self.unconfirmed, *self.seeds))
+            dict.fromkeys((*self.last_heard, *self.unconfirmed, *self.seeds))
         )
         self.unconfirmed = set()
         max_receivers = defaults.MAX_GOSSIP_PEERS
-        fanout = defaults.GOSSIP_AT_ONCE
+        fanout = defaults.GOSSIP_FANOUT
         if is_round:
             # Each probe also causes a reply.
-            fanout = defaults.PROBES_AT_ONCE
+            fanout = defaults.PROBE_FANOUT
         if is_reader:
             # The others must know which balancers read the store.
-            max_receivers = defaults.READER_GOSSIP_PEERS
+            max_receivers = defaults.READER_GOSSIP_FANOUT
             fanout = max_receivers
         if len(hosts) <= max_receivers:
             return hosts
         # The other hosts follow in the next rounds.
         self.first_receiver = (self.first_receiver + fanout) % len(hosts)
         chosen = (hosts * 2)[self.first_receiver : self.first_receiver + fanout]
-        waiting = (*self.probed, *self.suspected)[: defaults.GOSSIP_AT_ONCE]
+        waiting = (*self.awaiting_reply, *self.suspected)[
+            : defaults.GOSSIP_FANOUT
+        ]
         return list(dict.fromkeys((*chosen, *waiting)))
 
-    def list_latest(self) -> tuple[str, ...]:
+    def list_recent_peers(self) -> tuple[str, ...]:
         """Return the balancers to mention to peers, the latest heard first."""
-        latest = sorted(self.heard, key=self.heard.__getitem__, reverse=True)
+        latest = sorted(
+            self.last_heard, key=self.last_heard.__getitem__, reverse=True
+        )
         return tuple(latest[: defaults.MAX_GOSSIP_PEERS])
 
-    def take_news(self) -> tuple[Change, ...]:
+    def take_updates(self) -> tuple[PeerChange, ...]:
         """Return the changes to send with one message.
 
         Those with the most sends remaining come first.
         """
         ranked = sorted(
-            self.news.values(), key=_get_remaining_sends, reverse=True
+            self.updates.values(), key=_get_remaining_sends, reverse=True
         )
         changes = []
         for update in ranked[: defaults.MAX_CHANGES]:
             changes.append(update.change)
             update.remaining_sends -= 1
             if not update.remaining_sends:
-                self.news.pop(update.change.host)
+                self.updates.pop(update.change.host)
         return tuple(changes)
 
-    def _merge_change(self, change: Change, now: float) -> bool:
+    def _merge_change(self, change: PeerChange, now: float) -> bool:
         host = change.host
-        if host == self.own:
+        if host == self.own_host:
             self._refute(change)
             return False
-        is_known = host in self.heard
+        is_known = host in self.last_heard
         known = self.incarnations.get(host, _UNKNOWN)
-        if change.status == Status.ALIVE:
+        if change.status == PeerStatus.ALIVE:
             if change.incarnation <= known:
                 return False
-            self.heard[host] = now
+            self.last_heard[host] = now
             self.suspected.pop(host, None)
             self._record_change(change)
             return not is_known
         if not is_known or change.incarnation < known:
             return False
-        if change.status == Status.LOST:
+        if change.status == PeerStatus.LOST:
             self._remove(host)
             self._record_change(change)
         elif host not in self.suspected:
@@ -240,38 +252,42 @@
             self._record_change(change)
         return False
 
-    def _refute(self, change: Change) -> None:
+    def _refute(self, change: PeerChange) -> None:
         """Refute a report that this balancer is suspected or lost."""
-        is_wrong = change.status != Status.ALIVE
+        is_wrong = change.status != PeerStatus.ALIVE
         if is_wrong and change.incarnation >= self.incarnation:
             self.incarnation = change.incarnation + 1
             self._record_change(
-                Change(self.own, self.incarnation, Status.ALIVE)
+                PeerChange(self.own_host, self.incarnation, PeerStatus.ALIVE)
             )
 
     def _suspect(self, host: str, now: float) -> None:
-        self.probed.pop(host)
-        if host in self.heard and host not in self.suspected:
+        self.awaiting_reply.pop(host)
+        if host in self.last_heard and host not in self.suspected:
             self.suspected[host] = now
             incarnation = self.incarnations[host]
-            self._record_change(Change(host, incarnation, Status.SUSPECTED))
+            self._record_change(
+                PeerChange(host, incarnation, PeerStatus.SUSPECTED)
+            )
 
     def _is_lost(self, host: str, now: float) -> bool:
         since = self.suspected.get(host)
         if since is not None:
-            return now - since >= defaults.SUSPECT_SECONDS
-        heard_at = max(self.heard[host], self.small_fleet_since)
-        return now - heard_at > defaults.PEER_SECONDS
+            return now - since >= defaults.SUSPICION_TIMEOUT_SECONDS
+        heard_at = max(self.last_heard[host], self.small_fleet_since)
+        return now - heard_at > defaults.PEER_TIMEOUT_SECONDS
 
     def _remove(self, host: str) -> None:
-        for table in (self.heard, self.probed, self.suspected):
+        for table in (self.last_heard, self.awaiting_reply, self.suspected):
             table.pop(host, None)
 
-    def _record_change(self, change: Change) -> None:
+    def _record_change(self, change: PeerChange) -> None:
         """Record the incarnation of a change, and disseminate the change."""
         self.incarnations[change.host] = change.incarnation
-        rounds = (len(self.heard) + 1).bit_length()
-        self.news[change.host] = _Update(change, rounds * defaults.NEWS_FACTOR)
+        rounds = (len(self.last_heard) + 1).bit_length()
+        self.updates[change.host] = _Update(
+            change, rounds * defaults.RETRANSMIT_FACTOR
+        )
 
 
 def _get_remaining_sends(update: _Update) -> int:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placement.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placement.py
@@ -8,15 +8,17 @@
 
 from keelgap.catalog.models import PacketRoute
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.placing.candidates import list_candidates
-from keelgap_balancer.packets.placing.delays import (
-    choose_first_to_answer,
-    measure_service,
+from keelgap_balancer.packets.latency_placement.candidates import (
+    list_candidates,
+)
+from keelgap_balancer.packets.latency_placement.delays import (
+    choose_fastest_agent,
+    measure_imbalance,
 )
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.views import AgentView
 
-__all__ = ('choose_service', 'choose_taker')
+__all__ = ('choose_service', 'choose_agent')
 
 _HASH_BITS: Final = 64
 _HASH_RANGE: Final = float(1 << _HASH_BITS)
@@ -48,7 +50,7 @@
     return route.shares[-1].service
 
 
-def choose_taker(
+def choose_agent(
     state: PacketState,
     route: PacketRoute,
     key: bytes,
@@ -72,9 +74,9 @@
         return None
     busy_per_flow = _compute_busy_per_flow(candidates)
     if state.features.placement:
-        profile = measure_service(candidates, busy_per_flow)
+        profile = measure_imbalance(candidates, busy_per_flow)
         if profile is not None:
-            return choose_first_to_answer(
+            return choose_fastest_agent(
                 state,
                 profile,
                 candidates,
@@ -114,17 +116,17 @@
 ) -> tuple[float, int]:
     report = view.report
     slots: float = view.upstream.slots
-    if now < view.warm_at:
-        slots *= defaults.WARM_UP_SLOTS
+    if now < view.warm_up_until:
+        slots *= defaults.WARM_UP_SLOT_SHARE
     expected_busy = report.flows * typical.busy_per_flow
-    expected = (report.busy + expected_busy) / 2 + view.picks
+    expected = (report.busy + expected_busy) / 2 + view.flows_since_report
     cost = (expected + 1) / slots
     if 0 < typical.answer_ms < report.answer_ms:
         # The same number of requests takes longer here, by this factor.
         cost *= report.answer_ms / typical.answer_ms
     if not state.is_near(view):
-        cost += defaults.REMOTE_LOAD
-    return _round_cost(cost), xxh3_64_intdigest(key, view.seed)
+        cost += defaults.REMOTE_ZONE_COST
+    return _round_cost(cost), xxh3_64_intdigest(key, view.start_hash)
 
 
 def _round_cost(cost: float) -> float:
@@ -133,7 +135,11 @@
     Among these the hash decides, so that copies of an opening packet that the
     routers send through another balancer go to the same agent.
     """
-    if cost < defaults.QUEUE_LOAD:
+    if cost < defaults.QUEUE_LOAD_THRESHOLD:
         return cost
-    steps = log(cost / defaults.QUEUE_LOAD) / log(defaults.QUEUE_STEP)
-    return defaults.QUEUE_LOAD * defaults.QUEUE_STEP ** int(steps)
+    steps = log(cost / defaults.QUEUE_LOAD_THRESHOLD) / log(
+        defaults.QUEUE_STEP_FACTOR
+    )
+    return defaults.QUEUE_LOAD_THRESHOLD * defaults.QUEUE_STEP_FACTOR ** int(
+        steps
+    )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/places.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/places.py
@@ -11,10 +11,10 @@
 from keelgap.packets.envelopes import compute_service_tag
 from keelgap_balancer.packets import defaults
 
-__all__ = ('Place', 'Places')
+__all__ = ('BalancerInfo', 'BalancerInfoTable')
 
 
-class Place(NamedTuple):
+class BalancerInfo(NamedTuple):
     """What a balancer announces about itself."""
 
     host: str
@@ -26,18 +26,18 @@
     link_megabits: int
 
 
-class Places:
+class BalancerInfoTable:
     """What one balancer knows about itself and the others."""
 
     def __init__(self, own: str, availability_zone: str, version: int) -> None:
         """Start as a balancer that takes no callers yet."""
         tag = compute_service_tag(availability_zone)
-        self.own = Place(own, version, tag, 0)
-        self.known: dict[str, Place] = {}
+        self.own = BalancerInfo(own, version, tag, 0)
+        self.known: dict[str, BalancerInfo] = {}
         #: How often the latest info of each host is still to be relayed.
         self.remaining_sends: dict[str, int] = {}
 
-    def change_own(self, link_megabits: int) -> bool:
+    def update_own_link(self, link_megabits: int) -> bool:
         """Set the bandwidth of the own link; return whether it changed."""
         own = self.own
         if own.link_megabits == link_megabits:
@@ -48,7 +48,7 @@
         )
         return True
 
-    def take(self, infos: Iterable[Place]) -> None:
+    def merge(self, infos: Iterable[BalancerInfo]) -> None:
         """Merge infos from a message; ignore those of an older version."""
         for balancer in infos:
             known = self.known.get(balancer.host)
@@ -57,24 +57,24 @@
                 self.known[balancer.host] = balancer
                 rounds = (len(self.known) + 1).bit_length()
                 self.remaining_sends[balancer.host] = (
-                    rounds * defaults.NEWS_FACTOR
+                    rounds * defaults.RETRANSMIT_FACTOR
                 )
 
-    def make_rows(self) -> tuple[Place, ...]:
+    def take_updates(self) -> tuple[BalancerInfo, ...]:
         """Return the infos to send: the own one, and the latest of others."""
         ranked = sorted(
             self.remaining_sends,
             key=self.remaining_sends.__getitem__,
             reverse=True,
         )
-        relayed = ranked[: defaults.MAX_PLACES]
+        relayed = ranked[: defaults.MAX_RELAYED_INFOS]
         for relayed_host in relayed:
             self.remaining_sends[relayed_host] -= 1
             if not self.remaining_sends[relayed_host]:
                 self.remaining_sends.pop(relayed_host)
         return (self.own, *map(self.known.__getitem__, relayed))
 
-    def list_in_zone(self, alive: Container[str]) -> list[Place]:
+    def list_in_zone(self, alive: Container[str]) -> list[BalancerInfo]:
         """Return the other balancers of the own zone that are alive."""
         return [
             balancer
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/candidates.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/candidates.py
@@ -6,9 +6,9 @@
 
 from xxhash import xxh3_64_intdigest
 
-from keelgap_balancer.packets.ejection import find_left_out
-from keelgap_balancer.packets.placing import defaults
-from keelgap_balancer.packets.placing.memory import Order
+from keelgap_balancer.packets.ejection import find_excluded
+from keelgap_balancer.packets.latency_placement import defaults
+from keelgap_balancer.packets.latency_placement.memory import SamplingOrder
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.views import AgentView
 
@@ -26,8 +26,8 @@
 ) -> list[AgentView]:
     """Return the agents among which to choose one for a new flow."""
     views = state.by_service.get(service, ())
-    ejected = find_left_out(state, service, now)
-    if state.features.placement and len(views) > defaults.MANY_CANDIDATES:
+    ejected = find_excluded(state, service, now)
+    if state.features.placement and len(views) > defaults.SAMPLING_THRESHOLD:
 
         def choose(drawn: Iterable[AgentView]) -> list[AgentView]:
             accepting = _filter_accepting(state, drawn, now, excluded, ejected)
@@ -58,10 +58,10 @@
         for view in views
         if view.host not in excluded and not state.is_evacuated(view)
     ]
-    open_views = [view for view in eligible if view.is_open()]
+    open_views = [view for view in eligible if view.accepts_flows()]
     if not open_views:
-        open_views = [view for view in eligible if view.may_return(now)]
-    responsive = [view for view in open_views if not view.is_quiet(now)]
+        open_views = [view for view in eligible if view.may_be_alive(now)]
+    responsive = [view for view in open_views if not view.is_unresponsive(now)]
     usable = responsive or open_views
     return [view for view in usable if view not in ejected] or usable
 
@@ -71,7 +71,7 @@
     now: float,
     ejected: Container[AgentView],
 ) -> bool:
-    is_responsive = view.is_open() and not view.is_quiet(now)
+    is_responsive = view.accepts_flows() and not view.is_unresponsive(now)
     return is_responsive and view not in ejected
 
 
@@ -90,14 +90,16 @@
     """
     order = _get_sampling_order(state, service)
     hash_value = xxh3_64_intdigest(key)
-    near = _draw(order.near, hash_value, defaults.DRAWN_NEAR)
-    count = defaults.DRAWN_FAR + defaults.DRAWN_NEAR - len(near)
+    near = _draw(order.near, hash_value, defaults.SAMPLED_NEAR)
+    count = defaults.SAMPLED_FAR + defaults.SAMPLED_NEAR - len(near)
     if not choose(near):
         near = order.near
     return choose((*near, *_draw(order.far, hash_value, count)))
 
 
-def _get_sampling_order(state: PacketState, service: str) -> Order[AgentView]:
+def _get_sampling_order(
+    state: PacketState, service: str
+) -> SamplingOrder[AgentView]:
     """Return the sampling order of a service.
 
     It leaves out availability zones that are out of service.  It is cached
@@ -105,17 +107,17 @@
     """
     views = state.by_service[service]
     evacuated = state.catalog.evacuated
-    order = state.placing.orders.get(service)
-    if order is None or not order.is_of(views, evacuated):
+    order = state.latency_placement.orders.get(service)
+    if order is None or not order.is_current(views, evacuated):
         in_service = (view for view in views if not state.is_evacuated(view))
-        ordered = sorted(in_service, key=lambda view: view.seed)
-        order = Order(
+        ordered = sorted(in_service, key=lambda view: view.start_hash)
+        order = SamplingOrder(
             views,
             frozenset(evacuated),
             tuple(filter(state.is_near, ordered)),
             tuple(view for view in ordered if not state.is_near(view)),
         )
-        state.placing.keep_order(service, order, state.by_service)
+        state.latency_placement.cache_order(service, order, state.by_service)
     return order
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/delays.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/delays.py
@@ -12,13 +12,13 @@
 
 from xxhash import xxh3_64_intdigest
 
-from keelgap_balancer.packets.defaults import WARM_UP_SLOTS
-from keelgap_balancer.packets.placing import defaults
-from keelgap_balancer.packets.placing.memory import Waits
+from keelgap_balancer.packets.defaults import WARM_UP_SLOT_SHARE
+from keelgap_balancer.packets.latency_placement import defaults
+from keelgap_balancer.packets.latency_placement.memory import CrossZoneCosts
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.views import AgentView
 
-__all__ = ('choose_first_to_answer', 'measure_service')
+__all__ = ('choose_fastest_agent', 'measure_imbalance')
 
 _HALF: Final = 0.5
 
@@ -42,7 +42,7 @@
     now: float
 
 
-def measure_service(
+def measure_imbalance(
     views: Sequence[AgentView],
     busy_per_flow: float,
 ) -> TypicalLoad | None:
@@ -62,7 +62,7 @@
     return None
 
 
-def choose_first_to_answer(
+def choose_fastest_agent(
     state: PacketState,
     typical: TypicalLoad,
     views: Sequence[AgentView],
@@ -74,7 +74,7 @@
     flow = _Flow(
         state,
         typical,
-        state.placing.spans.get_long_share(route_name),
+        state.latency_placement.flow_durations.get_long_flow_share(route_name),
         now,
     )
     costs = {view.host: _compute_cost(flow, view) for view in views}
@@ -85,10 +85,12 @@
         return best_near
     best_far = min(others, key=rank)
     near_cost = min(costs[view.host] for view in near)
-    waits = Waits(near_cost, costs[best_far.host])
-    if waits.near <= waits.far + _compute_zone_penalty(typical):
+    cross_zone_costs = CrossZoneCosts(near_cost, costs[best_far.host])
+    if cross_zone_costs.near <= cross_zone_costs.far + _compute_zone_penalty(
+        typical
+    ):
         return best_near
-    state.placing.waits = waits
+    state.latency_placement.cross_zone_costs = cross_zone_costs
     return best_far
 
 
@@ -114,16 +116,19 @@
     within one step, all balancers choose the same agent for one flow, and
     different agents for different flows.
     """
-    step = log(defaults.COST_STEP)
+    step = log(defaults.COST_STEP_FACTOR)
     return lambda view: (
-        int(log(max(costs[view.host], defaults.LEAST_COST)) / step),
-        xxh3_64_intdigest(key, view.seed),
+        int(log(max(costs[view.host], defaults.MIN_COST)) / step),
+        xxh3_64_intdigest(key, view.start_hash),
     )
 
 
 def _compute_zone_penalty(typical: TypicalLoad) -> float:
     """Return the cost of sending a flow to another availability zone."""
-    return defaults.FAR_MARGIN + defaults.FAR_MILLISECONDS / typical.work_ms
+    return (
+        defaults.CROSS_ZONE_MARGIN
+        + defaults.CROSS_ZONE_RTT_MS / typical.work_ms
+    )
 
 
 def _is_unusual(view: AgentView, typical: TypicalLoad) -> bool:
@@ -141,18 +146,20 @@
     work_ms = view.report.work_ms
     if not work_ms:
         return 1
-    if abs(work_ms - typical.work_ms) <= defaults.ROUNDED_MILLISECONDS:
+    if abs(work_ms - typical.work_ms) <= defaults.WORK_ROUNDING_MS:
         return 1
     ratio = work_ms / typical.work_ms
-    is_similar = 1 / defaults.ALIKE_PACE < ratio < defaults.ALIKE_PACE
-    return 1 if is_similar else max(ratio, defaults.LEAST_PACE)
+    is_similar = (
+        1 / defaults.SIMILAR_WORK_FACTOR < ratio < defaults.SIMILAR_WORK_FACTOR
+    )
+    return 1 if is_similar else max(ratio, defaults.MIN_WORK_RATIO)
 
 
 def _compute_cost(flow: _Flow, view: AgentView) -> float:
     """Return the expected cost of one more flow at an agent."""
     slots: float = view.upstream.slots
-    if flow.now < view.warm_at:
-        slots *= WARM_UP_SLOTS
+    if flow.now < view.warm_up_until:
+        slots *= WARM_UP_SLOT_SHARE
     share = flow.long_share
     cost = (1 - share) * _compute_latency(flow, view, slots)
     cost += share * _compute_load(flow, view, slots)
@@ -169,11 +176,13 @@
     typical_busy = report.flows * flow.typical.busy_per_flow
     weight = _compute_report_weight(flow.now - view.reported_at)
     load = (
-        typical_busy + weight * (report.busy - typical_busy) + view.picks
+        typical_busy
+        + weight * (report.busy - typical_busy)
+        + view.flows_since_report
     ) / slots
     wait = max(load + 1 / slots - 1, 0)
     # Even if a slot is free, other requests may take it first.
-    return 1 + wait + defaults.LOAD_COST * min(load, 1)
+    return 1 + wait + defaults.FULL_LOAD_COST * min(load, 1)
 
 
 def _compute_load(
@@ -184,10 +193,14 @@
     """Return the load per slot with one more long flow."""
     report = view.report
     typical_busy = report.flows * flow.typical.busy_per_flow
-    return ((report.busy + typical_busy) * _HALF + view.picks + 1) / slots
+    return (
+        (report.busy + typical_busy) * _HALF + view.flows_since_report + 1
+    ) / slots
 
 
 def _compute_report_weight(age: float) -> float:
     """Return the weight of a report of some age, from 0 to 1."""
-    beyond = max(age - defaults.FRESH_SECONDS, 0)
-    return defaults.TRUSTED_SECONDS / (defaults.TRUSTED_SECONDS + beyond)
+    beyond = max(age - defaults.REPORT_FRESH_SECONDS, 0)
+    return defaults.REPORT_HALF_WEIGHT_SECONDS / (
+        defaults.REPORT_HALF_WEIGHT_SECONDS + beyond
+    )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/memory.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/memory.py
@@ -3,16 +3,20 @@
 from collections.abc import Container, Mapping
 from typing import Generic, NamedTuple, TypeVar
 
-from keelgap_balancer.packets.placing.defaults import TELL_SECONDS
-from keelgap_balancer.packets.placing.spans import FlowSpans
+from keelgap_balancer.packets.latency_placement.defaults import (
+    LOG_INTERVAL_SECONDS,
+)
+from keelgap_balancer.packets.latency_placement.flow_durations import (
+    FlowDurations,
+)
 
-__all__ = ('Order', 'PlacingMemory', 'Waits')
+__all__ = ('SamplingOrder', 'PlacementState', 'CrossZoneCosts')
 
 
 View = TypeVar('View')
 
 
-class Order(NamedTuple, Generic[View]):
+class SamplingOrder(NamedTuple, Generic[View]):
     """The upstreams of a large service, in the same order at all balancers."""
 
     #: All upstreams of the service, and the availability zones that were
@@ -23,7 +27,7 @@
     near: tuple[View, ...]
     far: tuple[View, ...]
 
-    def is_of(
+    def is_current(
         self,
         views: tuple[View, ...],
         evacuated: Mapping[str, int],
@@ -32,7 +36,7 @@
         return self.views is views and self.evacuated == evacuated.keys()
 
 
-class Waits(NamedTuple):
+class CrossZoneCosts(NamedTuple):
     """The costs for which a flow went to another availability zone."""
 
     #: Least expected cost in the own zone, and that of the chosen agent.
@@ -40,25 +44,25 @@
     far: float
 
 
-class PlacingMemory(Generic[View]):
+class PlacementState(Generic[View]):
     """Learned flow durations, cached sampling orders, and counters."""
 
     def __init__(self) -> None:
         """Start without flows."""
-        self.spans = FlowSpans()
-        self.orders: dict[str, Order[View]] = {}
+        self.flow_durations = FlowDurations()
+        self.orders: dict[str, SamplingOrder[View]] = {}
         #: Flows placed in the own availability zone, and in others.
         self.placed_near = 0
         self.placed_far = 0
         #: Of the latest decision, if it led to another availability zone.
-        self.waits: Waits | None = None
+        self.cross_zone_costs: CrossZoneCosts | None = None
         #: When such a decision was last logged.
         self.last_logged_at = float('-inf')
 
-    def keep_order(
+    def cache_order(
         self,
         service: str,
-        order: Order[View],
+        order: SamplingOrder[View],
         services: Container[str],
     ) -> None:
         """Cache the order of a service; drop those of removed services."""
@@ -67,9 +71,9 @@
                 self.orders.pop(name)
         self.orders[service] = order
 
-    def is_tellable(self, now: float) -> bool:
+    def should_log(self, now: float) -> bool:
         """Return whether another log line is due; if so, record its time."""
-        if now - self.last_logged_at < TELL_SECONDS:
+        if now - self.last_logged_at < LOG_INTERVAL_SECONDS:
             return False
         self.last_logged_at = now
         return True
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/notes.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/notes.py
@@ -5,10 +5,10 @@
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.views import AgentView
 
-__all__ = ('note_placement',)
+__all__ = ('record_placement',)
 
 
-def note_placement(
+def record_placement(
     state: PacketState,
     view: AgentView,
     route: PacketRoute,
@@ -21,21 +21,21 @@
     """
     if not state.features.placement:
         return ()
-    placement_state = state.placing
-    placement_state.spans.watch(key, route.name, now)
+    placement_state = state.latency_placement
+    placement_state.flow_durations.watch_flow(key, route.name, now)
     if state.is_near(view):
         placement_state.placed_near += 1
         return ()
     placement_state.placed_far += 1
-    waits = placement_state.waits
-    if waits is None or not placement_state.is_tellable(now):
+    cross_zone_costs = placement_state.cross_zone_costs
+    if cross_zone_costs is None or not placement_state.should_log(now):
         return ()
     fields = {
         'flow': state.format.describe_key(key),
         'route': route.name,
         'upstream': view.upstream.upstream_id,
-        'near_cost': round(waits.near, 2),
-        'far_cost': round(waits.far, 2),
+        'near_cost': round(cross_zone_costs.near, 2),
+        'far_cost': round(cross_zone_costs.far, 2),
         'placed_far': placement_state.placed_far,
     }
     return (Decided('placed_far', fields),)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/spans.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/spans.py
@@ -7,15 +7,15 @@
 
 from typing import Final
 
-from keelgap_balancer.packets.placing import defaults
+from keelgap_balancer.packets.latency_placement import defaults
 
-__all__ = ('FlowSpans',)
+__all__ = ('FlowDurations',)
 
 #: Share of long flows assumed for a route without any data.
 _DEFAULT_SHARE: Final = 0.5
 
 
-class FlowSpans:
+class FlowDurations:
     """Shares of long flows, by the name of the route."""
 
     def __init__(self) -> None:
@@ -23,16 +23,16 @@
         #: Route and start time of each flow that is watched, by its key.
         self.watched: dict[bytes, tuple[str, float]] = {}
         self.counts: dict[str, int] = {}
-        self.long_shares: dict[str, float] = {}
+        self.long_flow_shares: dict[str, float] = {}
 
-    def watch(self, key: bytes, route_name: str, now: float) -> None:
+    def watch_flow(self, key: bytes, route_name: str, now: float) -> None:
         """Watch a new flow, unless enough flows of its route are watched."""
         count = self.counts.get(route_name, 0)
-        if count < defaults.WATCHED_FLOWS and key not in self.watched:
+        if count < defaults.MAX_WATCHED_FLOWS and key not in self.watched:
             self.counts[route_name] = count + 1
             self.watched[key] = route_name, now
 
-    def note_end(self, key: bytes, now: float) -> None:
+    def record_end(self, key: bytes, now: float) -> None:
         """Record that the caller ended a flow."""
         watched = self.watched.pop(key, None)
         if watched is not None:
@@ -58,18 +58,18 @@
             route_name, _ = self.watched.pop(key)
             self._learn(route_name, is_long=True)
 
-    def get_long_share(self, route_name: str) -> float:
+    def get_long_flow_share(self, route_name: str) -> float:
         """Return the share of long flows among those of a route."""
-        return self.long_shares.get(route_name, _DEFAULT_SHARE)
+        return self.long_flow_shares.get(route_name, _DEFAULT_SHARE)
 
     def _learn(self, route_name: str, *, is_long: bool) -> None:
         self._decrement_count(route_name)
-        share = self.get_long_share(route_name)
-        weight = defaults.FLOW_SPAN_WEIGHT
-        if len(self.long_shares) >= defaults.MAX_SPANS:
+        share = self.get_long_flow_share(route_name)
+        weight = defaults.LONG_FLOW_SHARE_WEIGHT
+        if len(self.long_flow_shares) >= defaults.MAX_LEARNED_ROUTES:
             # It is full of removed routes.
-            self.long_shares.clear()
-        self.long_shares[route_name] = share + weight * (is_long - share)
+            self.long_flow_shares.clear()
+        self.long_flow_shares[route_name] = share + weight * (is_long - share)
 
     def _decrement_count(self, route_name: str) -> None:
         self.counts[route_name] -= 1
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
@@ -20,7 +20,7 @@
 )
 from keelgap_balancer.packets.ejection import (
     forget_ejections,
-    note_ejection,
+    record_ejection,
 )
 from keelgap_balancer.packets.events import (
     CallerPacket,
@@ -88,7 +88,7 @@
 def _handle_caller_packet(state: PacketState, event: CallerPacket) -> Effects:
     datagram = event.datagram
     now = event.now
-    state.ages.last_packet = now
+    state.caller_waits.last_packet_at = now
     key = state.format.caller_key(datagram)
     if not state.has_catalog:
         return park(state, key, datagram, now)
@@ -105,8 +105,8 @@
     if flags & _SYN:
         return open_flow(state, key, datagram, now)
     if flags & ENDS_FLOW:
-        state.placing.spans.note_end(key, now)
-    state.ages.note_opened(key)
+        state.latency_placement.flow_durations.record_end(key, now)
+    state.caller_waits.record_opened(key)
     owner = state.owners.get(key)
     if owner is not None and not _is_owner_lost(owner, now):
         return (forward(state, owner, datagram),)
@@ -119,12 +119,12 @@
 
 def _is_owner_lost(owner: AgentView, now: float) -> bool:
     """Return whether an owner has left for good."""
-    if owner.has_ended:
+    if owner.is_replaced:
         return True
-    since = owner.gone_since
-    if since is None or now - since < defaults.GONE_SECONDS:
+    since = owner.missing_since
+    if since is None or now - since < defaults.MISSING_ENTRY_SECONDS:
         return False
-    return now - owner.last_heard > defaults.GONE_SECONDS
+    return now - owner.last_heard > defaults.MISSING_ENTRY_SECONDS
 
 
 def _forward_denied(
@@ -175,9 +175,9 @@
         # The view is of an upstream that gets no new flows from here.
         return ()
     view.report = report
-    view.picks = 0
+    view.flows_since_report = 0
     view.reported_at = event.now
-    return note_ejection(state, view, view.report, event.now)
+    return record_ejection(state, view, view.report, event.now)
 
 
 def _send_notice(
@@ -305,8 +305,8 @@
 def _handle_timer(state: PacketState, event: TimerFired) -> Effects:
     now = event.now
     state.owners.expire(now)
-    state.ages.expire(now)
-    state.placing.spans.expire(now)
+    state.caller_waits.expire(now)
+    state.latency_placement.flow_durations.expire(now)
     expired = expire_searches(state, now)
     forget_gone(state, now)
     forget_unlisted(state, now)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/refusals.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/refusals.py
@@ -29,7 +29,7 @@
     now: float,
 ) -> Effects:
     """Expect a retry of a refused caller, here or at another balancer."""
-    state.ages.note_refusal(key, now)
+    state.caller_waits.note_refusal(key, now)
     counter = Decided(f'refused_priority_{route.priority}')
     return counter, *tell_refused(state, now)
 
@@ -39,13 +39,17 @@
 
     Callers beyond two batches are dropped.
     """
-    ages = state.ages
-    is_too_soon = now - ages.told_at < defaults.REFUSED_PAUSE_SECONDS
-    if not ages.untold or is_too_soon:
+    caller_waits = state.caller_waits
+    is_too_soon = (
+        now - caller_waits.announced_at < defaults.REFUSED_INTERVAL_SECONDS
+    )
+    if not caller_waits.unannounced or is_too_soon:
         return ()
-    ages.told_at = now
-    batch = ages.untold[:MAX_REFUSED_CALLERS]
-    ages.untold = ages.untold[MAX_REFUSED_CALLERS : 2 * MAX_REFUSED_CALLERS]
+    caller_waits.announced_at = now
+    batch = caller_waits.unannounced[:MAX_REFUSED_CALLERS]
+    caller_waits.unannounced = caller_waits.unannounced[
+        MAX_REFUSED_CALLERS : 2 * MAX_REFUSED_CALLERS
+    ]
     return (TellBalancers(EnvelopeKind.REFUSED, pack_refused(batch)),)
 
 
@@ -56,5 +60,5 @@
     except MalformedEnvelope as error:
         return (Decided(error.code),)
     for caller in callers:
-        state.ages.expect_again(caller, event.now)
+        state.caller_waits.expect_retry(caller, event.now)
     return ()
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/rotation.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/rotation.py
@@ -14,16 +14,16 @@
 from typing import NamedTuple
 
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.places import Place
+from keelgap_balancer.packets.places import BalancerInfo
 
-__all__ = ('Rotation', 'has_thin_link')
+__all__ = ('Rotation', 'has_slow_link')
 
 
-def has_thin_link(own: Place, others: list[Place]) -> bool:
+def has_slow_link(own: BalancerInfo, others: list[BalancerInfo]) -> bool:
     """Return whether to leave the callers of the zone to the others."""
-    fast_megabits = own.link_megabits * defaults.THIN_LINK_FACTOR
+    fast_megabits = own.link_megabits * defaults.SLOW_LINK_FACTOR
     fast = [one for one in others if one.link_megabits >= fast_megabits]
-    if not own.link_megabits or len(fast) < defaults.FEWEST_WIDE_LINKS:
+    if not own.link_megabits or len(fast) < defaults.MIN_FAST_LINKS:
         return False
     # The slowest links withdraw first; the host decides among equals.
     rank = (own.link_megabits, own.host)
@@ -34,7 +34,7 @@
 class _Target(NamedTuple):
     """What the links of the zone call for, and since when."""
 
-    yields: bool
+    is_withdrawn: bool
     since: float
 
 
@@ -43,20 +43,22 @@
 
     def __init__(self, now: float) -> None:
         """Start in rotation."""
-        self.yields = False
-        self.target = _Target(yields=False, since=now)
+        self.is_withdrawn = False
+        self.target = _Target(is_withdrawn=False, since=now)
 
-    def decide(self, own: Place, others: list[Place], now: float) -> bool:
+    def update(
+        self, own: BalancerInfo, others: list[BalancerInfo], now: float
+    ) -> bool:
         """Return whether to stay out of rotation from now on.
 
         The balancer returns at once, since callers may need it.  It withdraws
         only after the links have called for it for some time, since the
         routers move nearly all flows of the zone with each change.
         """
-        yields = has_thin_link(own, others)
-        if yields != self.target.yields:
-            self.target = _Target(yields, now)
+        is_withdrawn = has_slow_link(own, others)
+        if is_withdrawn != self.target.is_withdrawn:
+            self.target = _Target(is_withdrawn, now)
         waited = now - self.target.since
-        if not yields or waited >= defaults.YIELD_SECONDS:
-            self.yields = yields
-        return self.yields
+        if not is_withdrawn or waited >= defaults.WITHDRAW_DELAY_SECONDS:
+            self.is_withdrawn = is_withdrawn
+        return self.is_withdrawn
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/search.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/search.py
@@ -106,7 +106,9 @@
 ) -> list[str]:
     """Sort hosts: responsive agents first, then those of the same zone."""
     views = [state.by_host[host] for host in hosts if host in state.by_host]
-    views.sort(key=lambda view: (view.is_quiet(now), not state.is_near(view)))
+    views.sort(
+        key=lambda view: (view.is_unresponsive(now), not state.is_near(view))
+    )
     return [view.host for view in views]
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/searches.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/searches.py
@@ -89,10 +89,10 @@
     def patience(self) -> float:
         """Return how many seconds to wait for the pending answers."""
         if self.lookups:
-            return defaults.LOOKUP_SECONDS
+            return defaults.LOOKUP_TIMEOUT_SECONDS
         if self.pending is None:
-            return defaults.LOOKUP_AGAIN_SECONDS
-        return defaults.SEARCH_STEP_SECONDS
+            return defaults.LOOKUP_RETRY_SECONDS
+        return defaults.SEARCH_STEP_TIMEOUT_SECONDS
 
     def stop_waiting(self) -> None:
         """Stop waiting for the pending answers."""
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
@@ -26,6 +26,7 @@
 from keelgap.runtime.pages import Page, make_ready_page, serve_pages
 from keelgap.sockets import make_reader, send_datagram
 from keelgap_balancer.packets import defaults
+from keelgap_balancer.packets.balancer_infos import BalancerInfoTable
 from keelgap_balancer.packets.conf import BalancerPacketSettings
 from keelgap_balancer.packets.effects import (
     CatchUp,
@@ -46,8 +47,7 @@
     TimerFired,
 )
 from keelgap_balancer.packets.gossip_driver import GossipDriver
-from keelgap_balancer.packets.peers import Peers
-from keelgap_balancer.packets.places import Places
+from keelgap_balancer.packets.peers import PeerTable
 from keelgap_balancer.packets.reducer import reduce
 from keelgap_balancer.packets.rotation import Rotation
 from keelgap_balancer.packets.state import PacketState
@@ -97,13 +97,13 @@
         #: The latest answer to the routers.
         self.was_ready = False
         self.has_served = False
-        self.peers = Peers(
+        self.peers = PeerTable(
             settings.instance.address,
             _parse_seeds(settings),
             # Higher than that of an earlier start, which others may remember.
             incarnation=int(time.time()) % _INCARNATIONS,
         )
-        self.places = Places(
+        self.balancer_infos = BalancerInfoTable(
             settings.instance.address,
             settings.instance.availability_zone,
             self.peers.incarnation,
@@ -122,7 +122,7 @@
         self.gossip = GossipDriver(
             process,
             self.peers,
-            self.places,
+            self.balancer_infos,
             self.catalog,
             self.state.make_stamp,
             self.control.port,
@@ -254,16 +254,16 @@
             'upstreams_out_of_service': sum(map(state.is_evacuated, views)),
             'ejected_upstreams': len(state.ejections.out),
             'upstreams_wanting_trial': len(state.ejections.wanting),
-            'silent_agents': sum(view.is_quiet(now) for view in views),
+            'silent_agents': sum(view.is_unresponsive(now) for view in views),
             'unlisted_agents': len(state.holders.unlisted),
             'known_flows': len(state.owners),
             'searches': len(state.searches),
             'parked_flows': len(state.parked),
-            'callers_counted': len(state.ages.shares.counts),
-            'balancers_heard': len(self.peers.heard),
-            'yields_to_wider_links': self.rotation.yields,
-            'placed_near': state.placing.placed_near,
-            'placed_far': state.placing.placed_far,
+            'callers_counted': len(state.caller_waits.shares.counts),
+            'balancers_heard': len(self.peers.last_heard),
+            'yields_to_wider_links': self.rotation.is_withdrawn,
+            'placed_near': state.latency_placement.placed_near,
+            'placed_far': state.latency_placement.placed_far,
         }
 
     def _send_to_agent(self, effect: SendToAgent) -> None:
@@ -307,7 +307,7 @@
         self.process.counters.count(f'store_{call}_{outcome}')
 
     def _make_ready(self, query: str) -> Page:
-        is_ready = self.can_serve and not self.rotation.yields
+        is_ready = self.can_serve and not self.rotation.is_withdrawn
         if is_ready != self.was_ready:
             self.was_ready = is_ready
             self.process.lines.tell('readiness_told', ready=is_ready)
@@ -339,26 +339,26 @@
         """Withdraw in favour of balancers with faster links, or return."""
         megabits = int(self.settings.listen.link_megabits)
         offered_megabits = megabits if self.can_serve else 0
-        if self.places.change_own(offered_megabits):
+        if self.balancer_infos.update_own_link(offered_megabits):
             self.gossip.send_gossip()
-        alive = self.peers.heard.keys() - self.peers.suspected.keys()
-        others = self.places.list_in_zone(alive)
-        before = self.rotation.yields
-        if self.rotation.decide(self.places.own, others, now) != before:
+        alive = self.peers.last_heard.keys() - self.peers.suspected.keys()
+        others = self.balancer_infos.list_in_zone(alive)
+        before = self.rotation.is_withdrawn
+        if self.rotation.update(self.balancer_infos.own, others, now) != before:
             self.process.lines.tell(
-                'link_yields' if self.rotation.yields else 'link_serves',
+                'link_yields' if self.rotation.is_withdrawn else 'link_serves',
                 link_megabits=megabits,
                 others={one.host: one.link_megabits for one in others},
             )
 
     def _check_stop(self, now: float, since: float) -> None:
         """Stop when the routers send no more packets, or on timeout."""
-        idle_seconds = now - max(self.state.ages.last_packet, since)
-        if now - since < defaults.ROUTERS_SECONDS:
+        idle_seconds = now - max(self.state.caller_waits.last_packet_at, since)
+        if now - since < defaults.ROUTER_REMOVAL_SECONDS:
             return
         if idle_seconds > defaults.DRAINED_SECONDS:
             self.loop.stop()
-        elif now - since > defaults.STOP_SECONDS:
+        elif now - since > defaults.MAX_STOP_SECONDS:
             self.loop.stop()
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/shares.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/shares.py
@@ -43,7 +43,7 @@
 
     def is_under_pressure(self, now: float) -> bool:
         """Return whether flows were refused within PRESSURE_SECONDS."""
-        return now - self.pressed_at < defaults.PRESSED_SECONDS
+        return now - self.pressed_at < defaults.PRESSURE_SECONDS
 
 
 class CallerShares:
@@ -61,7 +61,7 @@
         key = (queue, host)
         count = self.counts.pop(key, None)
         if count is None:
-            count = DecayingCounter(defaults.SHARE_SECONDS, now)
+            count = DecayingCounter(defaults.SHARE_DECAY_SECONDS, now)
             if len(self.counts) >= defaults.MAX_CALLERS:
                 self.counts.pop(next(iter(self.counts)))
         level = self.get_level(queue, now)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
@@ -14,10 +14,10 @@
 from keelgap.packets.formats import PacketFormat
 from keelgap.packets.generations import GenerationalCache
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.ages import CallerAges
-from keelgap_balancer.packets.placing.memory import PlacingMemory
+from keelgap_balancer.packets.caller_waits import CallerWaits
+from keelgap_balancer.packets.latency_placement.memory import PlacementState
 from keelgap_balancer.packets.searches import Search
-from keelgap_balancer.packets.views import AgentView, NodeView
+from keelgap_balancer.packets.views import AgentView, DirectoryNodeView
 
 __all__ = (
     'Ejections',
@@ -75,7 +75,7 @@
     def is_valid(self, views: tuple[AgentView, ...], now: float) -> bool:
         """Return whether the decision still applies to these upstreams."""
         is_same = self.views is views
-        return is_same and now - self.at < defaults.LEFT_OUT_SECONDS
+        return is_same and now - self.at < defaults.EXCLUSION_CACHE_SECONDS
 
 
 class Ejections:
@@ -153,14 +153,14 @@
         self.gone: set[UpstreamIdentity] = set()
         self.greeting = GreetingRound(now)
         self.owners = make_owners(now)
-        self.ages = CallerAges(now)
-        self.placing: PlacingMemory[AgentView] = PlacingMemory()
+        self.caller_waits = CallerWaits(now)
+        self.latency_placement: PlacementState[AgentView] = PlacementState()
         self.searches: dict[bytes, Search] = {}
         self.ejections = Ejections()
         #: Flow directories by service, for large services only.
         self.directories: dict[str, FlowDirectory] = {}
         #: Directory nodes by host.
-        self.nodes: dict[str, NodeView] = {}
+        self.nodes: dict[str, DirectoryNodeView] = {}
         self.holders = Holders()
         #: Latest packet of each flow that cannot be served yet, by flow key.
         self.parked: dict[bytes, bytes] = {}
@@ -200,11 +200,11 @@
         informed_at = self.informed_at
         if informed_at is None:
             return True
-        return now - informed_at < defaults.GONE_SECONDS
+        return now - informed_at < defaults.MISSING_ENTRY_SECONDS
 
     def is_after_gap(self, now: float) -> bool:
         """Return whether entries may have lapsed unread and be renewed soon."""
-        return now - self.holders.gap_at < defaults.GONE_SECONDS
+        return now - self.holders.gap_at < defaults.MISSING_ENTRY_SECONDS
 
     def is_settling(self, now: float) -> bool:
         """Return whether callers may have tried before this could serve."""
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/unlisted.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/unlisted.py
@@ -93,7 +93,7 @@
         view_without_entry = AgentView(view.upstream, now)
         state.holders.unlisted[key] = view_without_entry
         state.holders.unspoken.clear()
-    view_without_entry.gone_since = now
+    view_without_entry.missing_since = now
     return view_without_entry
 
 
@@ -117,12 +117,12 @@
     if not views:
         return None, (Decided('drop_unknown_sender'),)
     for candidate in views:
-        candidate.waiting_since = None
+        candidate.reply_due_since = None
     if listed is not None:
-        listed.note_heard(event.now)
+        listed.record_message(event.now)
     matching = (view for view in views if view.service_tag == tag)
     sender = next(matching, views[0])
-    sender.note_heard(event.now)
+    sender.record_message(event.now)
     return sender, effects
 
 
@@ -175,7 +175,7 @@
     expired = [
         key
         for key, view in state.holders.unlisted.items()
-        if now - max(view.gone_since or 0, view.last_heard)
+        if now - max(view.missing_since or 0, view.last_heard)
         > defaults.UNLISTED_SECONDS
     ]
     for key in expired:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/verdicts.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/verdicts.py
@@ -135,7 +135,7 @@
             for view in list_members(state, route)
             if sum(view.host in hosts for hosts in covered) < required_denials
         )
-        if len(state.holders.unspoken) >= defaults.MAX_UNSPOKEN:
+        if len(state.holders.unspoken) >= defaults.MAX_CACHED_UNCOVERED:
             state.holders.unspoken.clear()
         state.holders.unspoken[key] = agents
     return agents
@@ -179,7 +179,7 @@
     if may_lack or state.is_after_gap(now):
         return _await_entries(search, fields, now)
     state.searches.pop(key, None)
-    state.ages.note_reset(key, now, now - search.started)
+    state.caller_waits.record_reset(key, now, now - search.started)
     return SendReset(search.latest), Decided('reset_dead_flow', fields)
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/views.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/views.py
@@ -12,7 +12,7 @@
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import SendToAgent
 
-__all__ = ('AgentView', 'NodeView')
+__all__ = ('AgentView', 'DirectoryNodeView')
 
 _NO_REPORT = LoadReport(0, 0, 0, closed=False)
 
@@ -24,22 +24,22 @@
     """
 
     __slots__ = (
-        'gone_since',
-        'has_ended',
-        'hello_at',
+        'missing_since',
+        'is_replaced',
+        'next_poll_at',
         'host',
         'last_heard',
-        'noticed_at',
-        'picks',
+        'last_notice_at',
+        'flows_since_report',
         'report',
         'reported_at',
-        'seed',
+        'start_hash',
         'service_tag',
-        'tried_at',
+        'last_trial_at',
         'upstream',
-        'waiting_since',
-        'warm_at',
-        'young_until',
+        'reply_due_since',
+        'warm_up_until',
+        'startup_until',
     )
 
     def __init__(self, upstream: PacketUpstream, now: float) -> None:
@@ -49,47 +49,49 @@
         self.service_tag = compute_service_tag(upstream.service)
         #: Identifies this process of the upstream in rendezvous hashing and
         #: towards directories.
-        self.seed = compute_service_tag(':'.join(map(str, upstream.identity)))
+        self.start_hash = compute_service_tag(
+            ':'.join(map(str, upstream.identity))
+        )
         self.report = _NO_REPORT
         self.reported_at = now
         #: New flows offered to the agent since its last load report.
-        self.picks = 0
+        self.flows_since_report = 0
         self.last_heard = float('-inf')
         #: When the agent was last sent a trial flow.
-        self.tried_at = float('-inf')
+        self.last_trial_at = float('-inf')
         #: Since when a reply of the agent is due; None if none is.
-        self.waiting_since: float | None = None
-        self.hello_at = now
+        self.reply_due_since: float | None = None
+        self.next_poll_at = now
         #: When it was last sent a notice because a node of its directory
         #: did not cover it.
-        self.noticed_at = float('-inf')
-        self.warm_at = now + upstream.warm_up_seconds
+        self.last_notice_at = float('-inf')
+        self.warm_up_until = now + upstream.warm_up_seconds
         #: Until when it counts as newly started.  An upstream that gets cold
         #: later, in an availability zone that is out of service, has written
         #: more reports to the store.
-        self.young_until = float('-inf')
-        if upstream.reports <= defaults.YOUNG_REPORTS:
-            self.young_until = self.warm_at
+        self.startup_until = float('-inf')
+        if upstream.reports <= defaults.MAX_STARTUP_REPORTS:
+            self.startup_until = self.warm_up_until
         #: Since when its entry is missing from the catalog; None if it is not.
-        self.gone_since: float | None = None
+        self.missing_since: float | None = None
         #: Whether a later process of the upstream replaced it.
-        self.has_ended = False
+        self.is_replaced = False
 
-    def change_upstream(self, upstream: PacketUpstream, now: float) -> None:
+    def update_upstream(self, upstream: PacketUpstream, now: float) -> None:
         """Apply an entry of the same process.
 
         An upstream may need to warm up again after its start.  An entry that
         was read before does not extend the warm-up.
         """
         if upstream.revision != self.upstream.revision:
-            self.warm_at = now + upstream.warm_up_seconds
+            self.warm_up_until = now + upstream.warm_up_seconds
         self.upstream = upstream
-        self.gone_since = None
+        self.missing_since = None
 
-    def end(self, now: float) -> None:
+    def mark_replaced(self, now: float) -> None:
         """Record that a later process replaced it, which ended its flows."""
-        self.has_ended = True
-        self.gone_since = now
+        self.is_replaced = True
+        self.missing_since = now
 
     def send(
         self,
@@ -113,47 +115,47 @@
         )
         return SendToAgent(self.host, envelope)
 
-    def note_heard(self, now: float) -> None:
+    def record_message(self, now: float) -> None:
         """Record that a message of any kind came from the agent."""
         self.last_heard = now
-        self.waiting_since = None
+        self.reply_due_since = None
 
     def expect_answer(self, now: float) -> None:
         """Expect a reply from now on, unless one is due already."""
-        if self.waiting_since is None:
-            self.waiting_since = now
+        if self.reply_due_since is None:
+            self.reply_due_since = now
 
-    def is_quiet(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Return whether a reply of the agent is overdue."""
-        since = self.waiting_since
-        return since is not None and now - since > defaults.QUIET_SECONDS
+        since = self.reply_due_since
+        return since is not None and now - since > defaults.UNRESPONSIVE_SECONDS
 
-    def is_open(self) -> bool:
+    def accepts_flows(self) -> bool:
         """Return whether it accepts new flows, as far as is known."""
         return (
-            self.gone_since is None
+            self.missing_since is None
             and self.upstream.state == 'active'
             and not self.report.closed
         )
 
-    def may_return(self, now: float) -> bool:
+    def may_be_alive(self, now: float) -> bool:
         """Return whether it still runs although its entry is missing."""
-        since = self.gone_since
-        if since is None or now - since >= defaults.GONE_SECONDS:
+        since = self.missing_since
+        if since is None or now - since >= defaults.MISSING_ENTRY_SECONDS:
             return False
         # An upstream that was draining has stopped since.
         is_leaving = self.upstream.state != 'active' or self.report.closed
         return self.last_heard > since and not is_leaving
 
 
-class NodeView:
+class DirectoryNodeView:
     """View of one node of a flow directory."""
 
     __slots__ = (
         'asked_at',
         'covered',
         'digest',
-        'is_asked_again',
+        'was_asked_again',
         'parts',
         'waiting',
     )
@@ -167,7 +169,7 @@
         self.asked_at: float | None = None
         #: Whether that question was repeated when another message came from
         #: the node first.
-        self.is_asked_again = False
+        self.was_asked_again = False
         #: Digest of the hosts in ``covered``.
         self.digest = 0
         #: Hosts of which the node knows all flows.
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/waiting.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/waiting.py
@@ -67,9 +67,9 @@
     delay searches.
     """
     node = state.nodes.get(host)
-    if node is None or node.asked_at is None or node.is_asked_again:
+    if node is None or node.asked_at is None or node.was_asked_again:
         return ()
-    if now - node.asked_at < defaults.SEARCH_STEP_SECONDS:
+    if now - node.asked_at < defaults.SEARCH_STEP_TIMEOUT_SECONDS:
         return ()
     for key, search in state.searches.items():
         if search.is_waiting or search.pending is not None:
@@ -78,5 +78,5 @@
             search.lookups.add(host)
             search.pending_since = now
             node.waiting[key] = None
-    node.is_asked_again = True
+    node.was_asked_again = True
     return ask_waiting(state, host, node, now)
--- a/tests/packets/directory_machine.py
+++ b/tests/packets/directory_machine.py
@@ -167,7 +167,7 @@
             self.deliver_all()
             if key not in self.flows:
                 return
-            self.advance(defaults.LOOKUP_AGAIN_SECONDS * 2)
+            self.advance(defaults.LOOKUP_RETRY_SECONDS * 2)
             self.deliver_all()
             if key not in self.flows:
                 return
--- a/tests/packets/machine.py
+++ b/tests/packets/machine.py
@@ -262,7 +262,7 @@
         self.deliver_all()
         away = balancer_events.StoreSeen(self.now, 0, 0, reaches_store=False)
         self._run_balancer(BALANCERS[1], away)
-        self.advance(balancer_defaults.HELLO_SECONDS)
+        self.advance(balancer_defaults.POLL_INTERVAL_SECONDS)
         self.deliver_all()
         row = self._take_from_list(number)
         self.restart_balancer(BALANCERS[0])
@@ -275,7 +275,7 @@
         self.deliver_all()
         away = balancer_events.StoreSeen(self.now, 0, 0, reaches_store=False)
         self._run_balancer(BALANCERS[1], away)
-        self.advance(balancer_defaults.HELLO_SECONDS)
+        self.advance(balancer_defaults.POLL_INTERVAL_SECONDS)
         self.deliver_all()
         row = self._take_from_list(number)
         self.restart_balancer(BALANCERS[0])
@@ -297,7 +297,7 @@
         row = self._take_from_list(number)
         for host in BALANCERS:
             self.learn(host)
-        self.advance(balancer_defaults.GONE_SECONDS / 2)
+        self.advance(balancer_defaults.MISSING_ENTRY_SECONDS / 2)
         # The routers move all flows, and a balancer must find them.
         self.balancers[BALANCERS[0]].owners = make_owners(self.now)
         self._speak_on_all_flows(BALANCERS[0])
@@ -316,7 +316,7 @@
                 packet = make_packet(self.flows[key], ACK, data=b'GET')
                 self._send(BALANCERS[0], packet)
                 self.deliver_all()
-                self.advance(balancer_defaults.SEARCH_STEP_SECONDS)
+                self.advance(balancer_defaults.SEARCH_STEP_TIMEOUT_SECONDS)
         self.cut_off = ''
 
     @rule(seconds=st.sampled_from((0.05, 0.2, 0.5, 1.4)))
@@ -419,9 +419,9 @@
         if not lost:
             return
         self.deliver_all()
-        self.advance(balancer_defaults.SEARCH_SECONDS + 0.1)
+        self.advance(balancer_defaults.SEARCH_TIMEOUT_SECONDS + 0.1)
         if self.balancers[host].is_newly_informed(self.now):
-            self.advance(balancer_defaults.GONE_SECONDS)
+            self.advance(balancer_defaults.MISSING_ENTRY_SECONDS)
         self.learn(host)
         self.deliver_all()
         key = data.draw(st.sampled_from(lost))
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -16,7 +16,7 @@
     unpack_refused,
 )
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.ages import CallerAges
+from keelgap_balancer.packets.caller_waits import CallerWaits
 from keelgap_balancer.packets.effects import (
     Decided,
     SendReset,
@@ -101,7 +101,7 @@
         self.assertEqual(reset, SendReset(make_packet(FLOW, SYN)))
         self.assertEqual(decided.name, 'reset_no_room')
         self.assertEqual(counted, Decided('refused_priority_0'))
-        self.assertEqual(len(self.asked), defaults.FEWEST_WITHOUT_TIME)
+        self.assertEqual(len(self.asked), defaults.MIN_TIME_REFUSALS)
 
     def test_whoever_reports_room_is_asked_before(self) -> None:
         """No refusal while anybody has room."""
@@ -115,17 +115,17 @@
 
     def test_balancer_that_hears_nobody_refuses_nobody(self) -> None:
         """Silence says nothing of room."""
-        self.now += defaults.QUIET_SECONDS + 1
+        self.now += defaults.UNRESPONSIVE_SECONDS + 1
         for copy in range(3):
             (offer,) = self.send(SYN, ack=copy)
             self.assertIsInstance(offer, SendToAgent)
-            self.now += defaults.QUIET_SECONDS + 0.1
+            self.now += defaults.UNRESPONSIVE_SECONDS + 0.1
 
     def test_other_reasons_do_not_count(self) -> None:
         """As an agent of an earlier release gives flows back."""
         self.report_full(*self.hosts)
         effects = self.send(SYN)
-        for _ in range(defaults.FEWEST_WITHOUT_TIME):
+        for _ in range(defaults.MIN_TIME_REFUSALS):
             effects = self.give_back(effects[0], room_ms=0)
         self.assertIsInstance(effects[0], SendToAgent)
 
@@ -208,13 +208,13 @@
 
     def test_caller_that_does_not_come_back_is_soon_forgotten(self) -> None:
         """Later requests of its host are no retries."""
-        self.now += defaults.REFUSED_SECONDS
+        self.now += defaults.REFUSED_RETRY_SECONDS
         self.take(TimerFired(self.now))
         self.assertEqual(self.get_age(self.again), 0)
 
     def test_after_the_last_try_nobody_is_expected(self) -> None:
         """The next request of the host is a new one."""
-        for port in range(1, defaults.CALLER_TRIES):
+        for port in range(1, defaults.MAX_CALLER_TRIES):
             self.open(FLOW._replace(port=port))
             self.now += 0.15
         self.assertEqual(self.get_age(self.again), 0)
@@ -226,7 +226,7 @@
             effects.extend(self.open(FlowName(f'100.64.1.{number}', 5)))
         told = [one for one in effects if isinstance(one, TellBalancers)]
         self.assertEqual(len(told), 1)
-        self.now += defaults.REFUSED_PAUSE_SECONDS
+        self.now += defaults.REFUSED_INTERVAL_SECONDS
         effects = self.take(TimerFired(self.now))
         (told,) = [one for one in effects if isinstance(one, TellBalancers)]
         self.assertEqual(len(unpack_refused(told.content)), 9)
@@ -239,11 +239,11 @@
 
     def test_flood_of_refused_callers_is_bounded(self) -> None:
         """Whoever tells of them."""
-        ages = CallerAges(0)
+        caller_waits = CallerWaits(0)
         for number in range(defaults.MAX_OPENINGS + 5):
             key = number.to_bytes(12, 'big')
-            ages.expect_again(RefusedCaller(key, 0, 1), self.now)
-        self.assertEqual(len(ages.openings), defaults.MAX_OPENINGS)
+            caller_waits.expect_retry(RefusedCaller(key, 0, 1), self.now)
+        self.assertEqual(len(caller_waits.openings), defaults.MAX_OPENINGS)
 
     def test_longest_message_fits_into_a_datagram(self) -> None:
         """More callers wait for the next one."""
@@ -301,7 +301,7 @@
         for port in range(1, 9):
             self.send(SYN, FLOW._replace(port=port))
         self.press()
-        self.now += defaults.PRESSED_SECONDS
+        self.now += defaults.PRESSURE_SECONDS
         (offer,) = self.send(SYN, FLOW._replace(port=10))
         self.assertIsInstance(offer, SendToAgent)
 
@@ -315,7 +315,10 @@
                 self.report(host)
             self.now += defaults.LEVEL_PAUSE_SECONDS * 1.01
             self.send(SYN, FlowName(f'100.64.4.{step + 1}', 7))
-        if self.now - self.state.ages.shares.levels[QUEUE].pressed_at < 1:
+        if (
+            self.now - self.state.caller_waits.shares.levels[QUEUE].pressed_at
+            < 1
+        ):
             self.fail('pressure must have lasted for the test to say much')
         (offer,) = self.send(SYN, FLOW._replace(port=10))
         self.assertIsInstance(offer, SendToAgent)
--- a/tests/packets/test_agent.py
+++ b/tests/packets/test_agent.py
@@ -454,15 +454,15 @@
         Found on edspa-keelgap scale-2: 0.036 GB between zones, not 0.009.
         """
         late = defaults.MAX_REPORT_INTERVAL_SECONDS + defaults.TIMER_SECONDS
-        self.assertLess(late, balancer_defaults.QUIET_SECONDS)
+        self.assertLess(late, balancer_defaults.UNRESPONSIVE_SECONDS)
         self.assertLess(
-            balancer_defaults.QUIET_SECONDS,
+            balancer_defaults.UNRESPONSIVE_SECONDS,
             balancer_defaults.ISOLATED_SECONDS,
         )
 
     def test_reports_go_on_between_greetings(self) -> None:
         """A lost greeting does not end them."""
         self.assertLess(
-            balancer_defaults.HELLO_SECONDS * 2,
+            balancer_defaults.POLL_INTERVAL_SECONDS * 2,
             defaults.SUBSCRIPTION_SECONDS,
         )
--- a/tests/packets/test_balancer.py
+++ b/tests/packets/test_balancer.py
@@ -131,7 +131,7 @@
     def test_copy_leaves_an_agent_that_is_silent(self) -> None:
         """Its machine may be dark."""
         (offer,) = self.send(SYN)
-        self.now += defaults.QUIET_SECONDS + 0.1
+        self.now += defaults.UNRESPONSIVE_SECONDS + 0.1
         for host in {'10.0.0.1', '10.0.0.2', '10.0.0.3'} - {offer.host}:
             self.report(host)
         (copy,) = self.send(SYN, ack=2)
@@ -143,10 +143,10 @@
         Found by the tests with processes: the agent was being restarted.
         """
         self.change(make_catalog(2, self.boards[:1]))
-        self.now += defaults.GONE_SECONDS + 0.1
+        self.now += defaults.MISSING_ENTRY_SECONDS + 0.1
         self.take(TimerFired(self.now))
         (offer,) = self.send(SYN)
-        self.now += defaults.QUIET_SECONDS + 0.1
+        self.now += defaults.UNRESPONSIVE_SECONDS + 0.1
         (copy,) = self.send(SYN, ack=1)
         self.assertEqual(copy, offer._replace(envelope=copy.envelope))
 
@@ -163,7 +163,7 @@
         for _ in range(50):
             self.now += defaults.TIMER_SECONDS
             sent += len(self.take(TimerFired(self.now)))
-        self.assertLessEqual(sent, 50 * defaults.GREETINGS_AT_ONCE)
+        self.assertLessEqual(sent, 50 * defaults.POLLS_PER_TICK)
 
     def test_agents_of_other_zones_are_asked_less_often(self) -> None:
         """Octets between availability zones cost."""
@@ -303,7 +303,7 @@
         """
         asked = [self.send(ACK)[0].host]
         for _ in range(2):
-            self.now += defaults.SEARCH_STEP_SECONDS
+            self.now += defaults.SEARCH_STEP_TIMEOUT_SECONDS
             sent = self.take(TimerFired(self.now))
             asked += [
                 effect.host
@@ -317,9 +317,9 @@
         """Each of them may take a pause."""
         gone, silent, living = self.boards
         self.change(make_catalog(2, [silent, living]))
-        self.now += defaults.HELLO_SECONDS
+        self.now += defaults.POLL_INTERVAL_SECONDS
         self.take(TimerFired(self.now))
-        self.now += defaults.QUIET_SECONDS + 0.1
+        self.now += defaults.UNRESPONSIVE_SECONDS + 0.1
         self.report(living.address.host)
         for port in range(20):
             (search,) = self.send(ACK, FLOW._replace(port=port))
@@ -331,7 +331,7 @@
             for _ in range(5):
                 effects = self.find_nobody(silent=host)
                 self.assertEqual(effects[0].host, host)
-                self.now += defaults.SEARCH_SECONDS
+                self.now += defaults.SEARCH_TIMEOUT_SECONDS
                 self.take(TimerFired(self.now))
 
     def test_upstream_whose_entry_went_is_still_asked_for_a_while(
@@ -343,7 +343,7 @@
         effects = self.find_nobody(silent=gone)
         self.assertEqual(effects[0].host, gone)
         for _ in range(2):
-            self.now += defaults.GONE_SECONDS + 0.1
+            self.now += defaults.MISSING_ENTRY_SECONDS + 0.1
             self.take(TimerFired(self.now))
         self.assertIsInstance(self.find_nobody(silent=gone)[0], SendReset)
 
@@ -372,7 +372,7 @@
         """Entries of living upstreams may lack in its first reading."""
         self.stamp = Stamp(1, may_lack_entries=True)
         self.assertEqual(self.find_nobody(), [])
-        self.now += defaults.GONE_SECONDS
+        self.now += defaults.MISSING_ENTRY_SECONDS
         self.take(TimerFired(self.now))
         packet = make_packet(FLOW, ACK)
         self.assertEqual(self.find_nobody(), [SendReset(packet)])
@@ -465,13 +465,13 @@
             defaults.MAX_SEARCHES,
         )
         self.assertLessEqual(
-            len(self.state.ages.openings),
+            len(self.state.caller_waits.openings),
             defaults.MAX_OPENINGS,
         )
         self.now += 10
         self.take(TimerFired(self.now))
         self.assertEqual(self.state.searches, {})
-        self.assertEqual(self.state.ages.openings, {})
+        self.assertEqual(self.state.caller_waits.openings, {})
 
     def test_strangers_and_odd_envelopes_change_nothing(self) -> None:
         """They are counted by type."""
--- a/tests/packets/test_complete_agents.py
+++ b/tests/packets/test_complete_agents.py
@@ -86,7 +86,7 @@
 
     def read(self) -> UpstreamNotice:
         """Return the next notice to an agent."""
-        self.now += defaults.HELLO_SECONDS
+        self.now += defaults.POLL_INTERVAL_SECONDS
         effects = self.take(TimerFired(self.now))
         return next(
             unpack_notice(one.envelope.content)
--- a/tests/packets/test_directory_search.py
+++ b/tests/packets/test_directory_search.py
@@ -160,7 +160,7 @@
         self.covered -= {OWN}
         self.deny()
         for _ in range(4):
-            self.now += defaults.SEARCH_STEP_SECONDS
+            self.now += defaults.SEARCH_STEP_TIMEOUT_SECONDS
             self.check_no_reset(self.send(ACK))
 
     def test_named_agent_that_is_silent_keeps_its_flow(self) -> None:
@@ -171,7 +171,7 @@
         """
         (question,) = self.send(ACK)
         self.find(question.host, OWN)
-        self.now += defaults.SEARCH_STEP_SECONDS
+        self.now += defaults.SEARCH_STEP_TIMEOUT_SECONDS
         self.take(TimerFired(self.now))
         other = SECOND if question.host == FIRST else FIRST
         effects = self.find(other, OWN)
@@ -185,7 +185,7 @@
         (question,) = self.send(ACK)
         self.find(question.host)
         for _ in range(6):
-            self.now += defaults.LOOKUP_SECONDS
+            self.now += defaults.LOOKUP_TIMEOUT_SECONDS
             effects = self.take(TimerFired(self.now))
             self.check_no_reset(effects)
             self.assertNotIn(EnvelopeKind.SEARCH, self.list_kinds(effects))
@@ -194,7 +194,7 @@
     def test_dark_node_does_not_keep_a_living_flow_lost(self) -> None:
         """The other one knows its owner."""
         (question,) = self.send(ACK)
-        self.now += defaults.LOOKUP_SECONDS
+        self.now += defaults.LOOKUP_TIMEOUT_SECONDS
         effects = self.take(TimerFired(self.now))
         asked = {
             one.host
@@ -213,12 +213,12 @@
         search = EnvelopeKind.SEARCH
         effects: list[Any] = []
         while search not in self.list_kinds(effects):
-            self.assertLess(self.now, defaults.SEARCH_SECONDS)
-            self.now += defaults.LOOKUP_SECONDS
+            self.assertLess(self.now, defaults.SEARCH_TIMEOUT_SECONDS)
+            self.now += defaults.LOOKUP_TIMEOUT_SECONDS
             effects = self.take(TimerFired(self.now))
         packet = make_packet(FLOW, ACK)
         asked = self.list_searched(effects)
-        self.assertEqual(len(asked), defaults.ASKED_AT_ONCE)
+        self.assertEqual(len(asked), defaults.SEARCH_FANOUT)
         for number in range(len(HOSTS)):
             self.check_no_reset(effects)
             effects = self.answer(asked[number], EnvelopeKind.MISS, packet)
--- a/tests/packets/test_ejection.py
+++ b/tests/packets/test_ejection.py
@@ -632,7 +632,7 @@
         balancers = sorted(world.balancers)
         for balancer, chosen in zip(balancers, (other, host), strict=True):
             for view in world.balancers[balancer].agents.values():
-                view.picks = 0 if view.host == chosen else 50
+                view.flows_since_report = 0 if view.host == chosen else 50
             world.send(balancer, make_packet(flow, SYN))
         self.assertIn(flow.key, world.upstreams[other].open)
         self.assertIn(flow.key, world.agents[host].queued)
--- a/tests/packets/test_ejection_bounds.py
+++ b/tests/packets/test_ejection_bounds.py
@@ -6,7 +6,7 @@
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap_agent.packets.outcomes import defaults as agent_defaults
 from keelgap_balancer.packets import defaults, ejection
-from keelgap_balancer.packets.ejection import find_left_out
+from keelgap_balancer.packets.ejection import find_excluded
 from keelgap_balancer.packets.state import PacketState
 from tests.packets.building import ACK, SYN, FlowName, make_packet
 from tests.packets.ejection_world import ON, WRITE, World
@@ -18,7 +18,7 @@
 def send_open(world: World, balancer: str, flow: FlowName, host: str) -> None:
     """Send an opening packet through a balancer that prefers a host."""
     for view in world.balancers[balancer].agents.values():
-        view.picks = 0 if view.host == host else 50
+        view.flows_since_report = 0 if view.host == host else 50
     retransmissions = len(world.to_caller.get(flow.key, ()))
     world.send(balancer, make_packet(flow, SYN, ack=retransmissions))
 
@@ -98,7 +98,7 @@
     for host in hosts:
         view = balancer.by_host[host]
         report = view.report._replace(is_ejected=True)
-        ejection.note_ejection(balancer, view, report, now)
+        ejection.record_ejection(balancer, view, report, now)
 
 
 def play(world: World, seconds: float) -> Counter[str]:
@@ -217,13 +217,13 @@
         hear(balancer, hosts[:40], world.now)
         patch = mock.patch.object(
             ejection,
-            '_do_others_suffice',
-            wraps=getattr(ejection, '_do_others_suffice'),
+            '_has_enough_slots',
+            wraps=getattr(ejection, '_has_enough_slots'),
         )
         with patch as looked:
             for _ in range(50):
                 world.now += 0.001
-                self.assertTrue(find_left_out(balancer, 'board', world.now))
+                self.assertTrue(find_excluded(balancer, 'board', world.now))
         self.assertLess(looked.call_count, 4)
         hear(balancer, hosts[40:41], world.now)
-        self.assertFalse(find_left_out(balancer, 'board', world.now))
+        self.assertFalse(find_excluded(balancer, 'board', world.now))
--- a/tests/packets/test_ejection_oracle.py
+++ b/tests/packets/test_ejection_oracle.py
@@ -13,7 +13,7 @@
 from keelgap_agent.packets.events import EnvelopeArrived
 from keelgap_agent.packets.outcomes import defaults, giving_up
 from keelgap_agent.packets.state import AgentState
-from keelgap_balancer.packets.ages import CallerAges
+from keelgap_balancer.packets.caller_waits import CallerWaits
 from tests.fuzzing import run_machine
 from tests.packets.building import (
     ACK,
@@ -157,7 +157,7 @@
     def _prefer(self, host: str, mute: str, own: int, other: int) -> None:
         """Let a balancer count so many new flows at agents."""
         for view in self.balancers[host].agents.values():
-            view.picks = own if view.host == mute else other
+            view.flows_since_report = own if view.host == mute else other
 
     def _drain_but(self, mute: str) -> None:
         """Let all upstreams drain but those on one host."""
@@ -263,7 +263,7 @@
 
     def test_a_reset_after_a_late_miss_is_found(self) -> None:
         """The same, for a copy that came back when its flow was open."""
-        patch = mock.patch.object(CallerAges, 'may_be_open', never_open)
+        patch = mock.patch.object(CallerWaits, 'may_be_open', never_open)
         with patch, self.assertRaisesRegex(AssertionError, 'open elsewhere'):
             run_machine(EjectingMachine, 400, STEPS, shrink=False)
 
--- a/tests/packets/test_evacuation.py
+++ b/tests/packets/test_evacuation.py
@@ -133,19 +133,19 @@
         """Each agent would hear it from thousands otherwise."""
         self.boards += [
             make_upstream(number, availability_zone='b')
-            for number in range(10, 10 + defaults.MAX_GREETED)
+            for number in range(10, 10 + defaults.MAX_POLLED_AGENTS)
         ]
         self.evacuate()
         told = read_notices(self.evacuate('a', 'b'))
         others = told.keys() - {*NEAR, '10.0.0.9'}
         self.assertEqual(len(told) - len(others), len(NEAR) + 1)
         # One is greeted in its turn.
-        self.assertLessEqual(len(others), defaults.GREETINGS_AT_ONCE)
+        self.assertLessEqual(len(others), defaults.POLLS_PER_TICK)
 
     def test_greetings_repeat_it(self) -> None:
         """The first message may have been lost."""
         self.evacuate('a')
-        self.now += defaults.FAR_ASK_SECONDS
+        self.now += defaults.REMOTE_POLL_INTERVAL_SECONDS
         told = read_notices(self.take(TimerFired(self.now)))
         left = {host for host, notice in told.items() if notice.is_evacuated}
         self.assertEqual(left, {*NEAR, '10.0.0.9'})
@@ -225,7 +225,7 @@
         """Forget the boards of other tests."""
         super().setUp()
         self.put(2)
-        self.now += 2 * defaults.GONE_SECONDS
+        self.now += 2 * defaults.MISSING_ENTRY_SECONDS
         self.take(TimerFired(self.now))
 
     def put(self, revision: int, *upstreams: PacketUpstream) -> None:
@@ -287,7 +287,7 @@
         """An agent that began since does not know all flows there."""
         self.boards[0] = self.boards[0]._replace(
             warm_up_seconds=2,
-            reports=defaults.YOUNG_REPORTS + 1,
+            reports=defaults.MAX_STARTUP_REPORTS + 1,
             started=100,
         )
         notices = read_notices(self.change(make_catalog(5, self.boards)))
--- a/tests/packets/test_giving_up.py
+++ b/tests/packets/test_giving_up.py
@@ -13,7 +13,7 @@
 
     def give_up(self) -> list[Decided]:
         """Let the time of all searches pass; return the lines about them."""
-        self.now += defaults.SEARCH_SECONDS + 0.1
+        self.now += defaults.SEARCH_TIMEOUT_SECONDS + 0.1
         effects = self.take(TimerFired(self.now))
         return [
             one
--- a/tests/packets/test_gossip.py
+++ b/tests/packets/test_gossip.py
@@ -6,14 +6,14 @@
 from hypothesis import strategies as st
 
 from keelgap.catalog.readers import ReaderClaim
+from keelgap_balancer.packets.balancer_infos import BalancerInfo
 from keelgap_balancer.packets.gossip import (
-    Gossip,
+    GossipMessage,
     MalformedGossip,
     decode_gossip,
     encode_gossip,
 )
-from keelgap_balancer.packets.peers import Change, Status
-from keelgap_balancer.packets.places import Place
+from keelgap_balancer.packets.peers import PeerChange, PeerStatus
 
 
 class MessageTests(TestCase):
@@ -21,19 +21,21 @@
 
     def test_message_survives_the_wire(self) -> None:
         """Ages to the millisecond, up to a minute."""
-        gossip = Gossip(
+        gossip = GossipMessage(
             2**40,
-            reads=True,
+            is_reader=True,
             peers=('10.0.0.1', '10.0.0.255'),
             claims=(ReaderClaim('10.0.0.9', 0.25), ReaderClaim('10.1.0.9', 0)),
             incarnation=2**32 - 1,
-            asks=True,
-            changes=(Change('10.0.0.7', 3, Status.SUSPECTED),),
+            wants_reply=True,
+            changes=(PeerChange('10.0.0.7', 3, PeerStatus.SUSPECTED),),
         )
         octets = encode_gossip(gossip)
         self.assertEqual(decode_gossip(octets), gossip)
         self.assertLess(len(octets), 50)
-        placed = gossip._replace(places=(Place('10.0.0.8', 4, 5, 100),))
+        placed = gossip._replace(
+            balancer_infos=(BalancerInfo('10.0.0.8', 4, 5, 100),)
+        )
         self.assertEqual(decode_gossip(encode_gossip(placed)), placed)
         old = gossip._replace(claims=(ReaderClaim('10.0.0.9', 1000.0),))
         (claim,) = decode_gossip(encode_gossip(old)).claims
--- a/tests/packets/test_inheriting.py
+++ b/tests/packets/test_inheriting.py
@@ -99,9 +99,9 @@
     def test_it_is_asked_again_after_a_pause(self) -> None:
         """The question or the answer may be lost."""
         self.hear()
-        self.now += defaults.INHERIT_PAUSE_SECONDS / 2
+        self.now += defaults.INHERIT_INTERVAL_SECONDS / 2
         self.assertEqual(self.hear(), [])
-        self.now += defaults.INHERIT_PAUSE_SECONDS
+        self.now += defaults.INHERIT_INTERVAL_SECONDS
         self.assertEqual(len(self.hear()), 1)
 
     def test_questions_end_after_the_first_seconds(self) -> None:
--- a/tests/packets/test_lapse_oracle.py
+++ b/tests/packets/test_lapse_oracle.py
@@ -61,7 +61,7 @@
         for balancer in BALANCERS:
             self.learn(balancer)
         for _ in range(4):
-            self.advance(defaults.GONE_SECONDS)
+            self.advance(defaults.MISSING_ENTRY_SECONDS)
             self.deliver_all()
 
 
@@ -74,6 +74,6 @@
 
     def test_a_balancer_without_history_is_found(self) -> None:
         """A fuzzer that cannot fail proves nothing."""
-        patch = mock.patch.object(membership, '_take_missed', take_no_missed)
+        patch = mock.patch.object(membership, '_add_missed', take_no_missed)
         with patch, self.assertRaisesRegex(AssertionError, 'living flow'):
             run_machine(LapsingMachine, 400, STEPS, shrink=False)
--- a/tests/packets/test_oracle.py
+++ b/tests/packets/test_oracle.py
@@ -86,12 +86,12 @@
     gone = [
         upstream_id
         for upstream_id, view in state.agents.items()
-        if view.gone_since is not None
+        if view.missing_since is not None
     ]
     for upstream_id in gone:
         state.agents.pop(upstream_id)
         state.gone.discard(upstream_id)
-    membership._index(state)  # noqa: WPS437
+    membership._rebuild_indexes(state)  # noqa: WPS437
 
 
 def pass_any_service(state: Any, event: Any) -> Any:
--- a/tests/packets/test_placement.py
+++ b/tests/packets/test_placement.py
@@ -20,9 +20,11 @@
 from keelgap.packets.features import Features
 from keelgap_balancer.packets.effects import Decided
 from keelgap_balancer.packets.events import CallerPacket, CatalogChanged
-from keelgap_balancer.packets.placement import choose_taker
-from keelgap_balancer.packets.placing import defaults
-from keelgap_balancer.packets.placing.candidates import list_candidates
+from keelgap_balancer.packets.latency_placement import defaults
+from keelgap_balancer.packets.latency_placement.candidates import (
+    list_candidates,
+)
+from keelgap_balancer.packets.placement import choose_agent
 from keelgap_balancer.packets.reducer import reduce
 from keelgap_balancer.packets.state import PacketState
 
@@ -78,7 +80,7 @@
 def choose(state: PacketState, number: int, now: float) -> str:
     """Return who would take a flow."""
     key = make_key(number)
-    taker = choose_taker(state, BRIEF, key, now, ())
+    taker = choose_agent(state, BRIEF, key, now, ())
     return '' if taker is None else taker.host
 
 
@@ -190,7 +192,7 @@
         for number in range(60):
             state = states[number % 15]
             host = choose(state, number, 2.95)
-            state.by_host[host].picks += 1
+            state.by_host[host].flows_since_report += 1
             taken.append(host)
         return taken.count('10.0.0.0')
 
@@ -223,7 +225,7 @@
             )
         self.assertEqual(len(lines), 1)
         self.assertGreater(lines[0]['near_cost'], lines[0]['far_cost'])
-        self.assertGreater(state.placing.placed_far, 100)
+        self.assertGreater(state.latency_placement.placed_far, 100)
 
 
 class CandidateTests(TestCase):
@@ -280,7 +282,7 @@
         )
         deliver(state, young.host, LoadReport(0, 0, 0, closed=False), 1)
         deliver(state, slow.host, IDLE._replace(work_ms=150), 1)
-        young.warm_at = 3
+        young.warm_up_until = 3
         taken = Counter(choose(state, number, 1.1) for number in range(40))
         self.assertEqual(set(taken), {young.host})
 
@@ -304,7 +306,7 @@
             )
             self.assertEqual(
                 len(drawn),
-                defaults.DRAWN_NEAR + defaults.DRAWN_FAR,
+                defaults.SAMPLED_NEAR + defaults.SAMPLED_FAR,
             )
 
     def test_none_of_the_few_is_open(self) -> None:
@@ -334,7 +336,7 @@
         keys = [make_key(number) for number in range(500)]
         began = time.process_time()
         for key in keys:
-            choose_taker(state, BRIEF, key, 1.1, ())
+            choose_agent(state, BRIEF, key, 1.1, ())
         taken = time.process_time() - began
         self.assertLess(taken / len(keys), 0.0004)
 
@@ -345,30 +347,32 @@
     def test_brief_and_long_routes(self) -> None:
         """One route's flows end with their answer, the other's stay."""
         world = play(SMALL._replace(seconds=8), ON, 1)
-        spans = world.balancers[0].placing.spans
-        self.assertLess(spans.get_long_share(BRIEF.name), 0.2)
-        self.assertGreater(spans.get_long_share(LONG.name), 0.8)
+        flow_durations = world.balancers[0].latency_placement.flow_durations
+        self.assertLess(flow_durations.get_long_flow_share(BRIEF.name), 0.2)
+        self.assertGreater(flow_durations.get_long_flow_share(LONG.name), 0.8)
 
     def test_flows_that_nobody_took(self) -> None:
         """They neither stay nor end, and others are watched."""
         state = make_state(SMALL)
-        spans = state.placing.spans
-        for number in range(2 * defaults.WATCHED_FLOWS):
-            spans.watch(make_key(number), BRIEF.name, 0)
-            spans.forget(make_key(number))
-        spans.expire(5)
-        self.assertEqual(spans.long_shares, {})
-        spans.watch(make_key(1), BRIEF.name, 5)
-        self.assertEqual(len(spans.watched), 1)
+        flow_durations = state.latency_placement.flow_durations
+        for number in range(2 * defaults.MAX_WATCHED_FLOWS):
+            flow_durations.watch_flow(make_key(number), BRIEF.name, 0)
+            flow_durations.forget(make_key(number))
+        flow_durations.expire(5)
+        self.assertEqual(flow_durations.long_flow_shares, {})
+        flow_durations.watch_flow(make_key(1), BRIEF.name, 5)
+        self.assertEqual(len(flow_durations.watched), 1)
 
     def test_routes_are_bounded(self) -> None:
         """Operators name each route anew, again and again."""
-        spans = make_state(SMALL).placing.spans
-        for number in range(defaults.MAX_SPANS + 10):
-            spans.watch(make_key(number), f'r{number}', 0)
-            spans.note_end(make_key(number), 0.1)
-        self.assertLessEqual(len(spans.long_shares), defaults.MAX_SPANS)
-        self.assertEqual(spans.counts, {})
+        flow_durations = make_state(SMALL).latency_placement.flow_durations
+        for number in range(defaults.MAX_LEARNED_ROUTES + 10):
+            flow_durations.watch_flow(make_key(number), f'r{number}', 0)
+            flow_durations.record_end(make_key(number), 0.1)
+        self.assertLessEqual(
+            len(flow_durations.long_flow_shares), defaults.MAX_LEARNED_ROUTES
+        )
+        self.assertEqual(flow_durations.counts, {})
 
     def test_watched_flows_are_bounded(self) -> None:
         """A flood of openings that nobody ends."""
@@ -378,6 +382,6 @@
             packet = make_packet(number, BRIEF, SYN)
             reduce(state, CallerPacket(0.1, packet))
         self.assertEqual(
-            len(state.placing.spans.watched),
-            defaults.WATCHED_FLOWS,
+            len(state.latency_placement.flow_durations.watched),
+            defaults.MAX_WATCHED_FLOWS,
         )
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -74,7 +74,7 @@
         self.deny()
         self.check_no_reset(self.wait(1.4))
         self.send(ACK)
-        self.check_no_reset(self.wait(defaults.GONE_SECONDS - 1.5))
+        self.check_no_reset(self.wait(defaults.MISSING_ENTRY_SECONDS - 1.5))
         self.assertIn(RESET, self.wait(0.1))
 
     def test_upstream_whose_entry_came_back_is_asked_at_once(self) -> None:
@@ -90,20 +90,20 @@
         ]
         self.assertEqual(asked, [returned.address.host])
         self.answer(asked[0], EnvelopeKind.OWNED, FLOW.key)
-        self.check_no_reset(self.wait(defaults.GONE_SECONDS))
+        self.check_no_reset(self.wait(defaults.MISSING_ENTRY_SECONDS))
 
     def test_agents_are_not_asked_while_the_search_waits(self) -> None:
         """Hundreds of searches wait at once, and nothing has changed."""
         self.deny()
         self.assertEqual(self.list_kinds(self.send(ACK)), [])
-        kinds = self.list_kinds(self.wait(defaults.LOOKUP_AGAIN_SECONDS))
+        kinds = self.list_kinds(self.wait(defaults.LOOKUP_RETRY_SECONDS))
         self.assertNotIn(EnvelopeKind.LOOKUP, kinds)
         self.assertNotIn(EnvelopeKind.SEARCH, kinds)
 
     def test_callers_that_left_are_forgotten(self) -> None:
         """One that waits repeats its packet within 1.6 s."""
         self.deny()
-        self.wait(defaults.REPEAT_SECONDS + 0.1)
+        self.wait(defaults.CALLER_SILENCE_SECONDS + 0.1)
         self.assertEqual(self.state.searches, {})
 
     def test_one_line_tells_of_the_wait(self) -> None:
@@ -126,7 +126,7 @@
         self.wait(1.4)
         self.send(ACK)
         self.take(StoreSeen(self.now, 5, 7, reaches_store=True))
-        self.check_no_reset(self.wait(defaults.GONE_SECONDS - 1.4))
+        self.check_no_reset(self.wait(defaults.MISSING_ENTRY_SECONDS - 1.4))
         returned = make_upstream(50)
         effects = self.change(make_catalog(7, [*self.boards, returned]))
         self.check_no_reset(effects)
@@ -139,7 +139,7 @@
         """Open a flow at the only upstream of the board."""
         super().setUp()
         self.change(make_catalog(2, [self.boards[0], self.proof]))
-        self.now += 2 * defaults.GONE_SECONDS
+        self.now += 2 * defaults.MISSING_ENTRY_SECONDS
         self.take(TimerFired(self.now))
         self.send(SYN)
 
@@ -338,7 +338,7 @@
             later = Stamp(revision + 1, may_lack_entries=False)
             self.take(StampHeard(self.now, later))
             self.ask_anew()
-            self.now += defaults.REPEAT_SECONDS / 4
+            self.now += defaults.CALLER_SILENCE_SECONDS / 4
         self.change(make_catalog(14, self.boards))
         self.take(TimerFired(self.now))
         self.assertNotIn(FLOW.key, self.state.searches)
@@ -350,8 +350,8 @@
         search.denied.pop(FIRST)
         node = self.state.nodes[FIRST]
         node.asked_at = self.now
-        node.is_asked_again = False
-        self.now += defaults.SEARCH_STEP_SECONDS
+        node.was_asked_again = False
+        self.now += defaults.SEARCH_STEP_TIMEOUT_SECONDS
         self.report(FIRST)
         self.assertEqual(search.lookups, set())
 
@@ -380,7 +380,7 @@
         """Its verdict is due with the catalog, not with the next packet."""
         self.stamp = Stamp(9, may_lack_entries=False)
         self.deny()
-        self.now += defaults.SEARCH_SECONDS + 0.1
+        self.now += defaults.SEARCH_TIMEOUT_SECONDS + 0.1
         self.take(TimerFired(self.now))
         self.stamp = NO_STAMP
         kinds = self.list_kinds(self.change(make_catalog(9, self.boards)))
@@ -393,7 +393,7 @@
     def retry(self, searched: float = 0) -> CallerWait:
         """Reset a flow after a search; return what is told of its retry."""
         self.now = defaults.SETTLING_SECONDS
-        self.state.ages.note_reset(FLOW.key, self.now, searched)
+        self.state.caller_waits.record_reset(FLOW.key, self.now, searched)
         return self.wait(FLOW.port + 1)
 
     def test_packet_that_was_reset_may_have_been_the_last_copy(self) -> None:
@@ -428,6 +428,6 @@
         self.now = defaults.SETTLING_SECONDS
         self.wait(FLOW.port)
         self.now += 0.5
-        self.state.ages.note_reset(FLOW.key, self.now)
+        self.state.caller_waits.record_reset(FLOW.key, self.now)
         wait = self.wait(FLOW.port + 1)
         self.assertEqual(wait, CallerWait(500, 2000, 2000))
--- a/tests/packets/test_rotation.py
+++ b/tests/packets/test_rotation.py
@@ -10,17 +10,17 @@
 from unittest import TestCase
 
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.places import Place, Places
-from keelgap_balancer.packets.rotation import Rotation, has_thin_link
+from keelgap_balancer.packets.places import BalancerInfo, BalancerInfoTable
+from keelgap_balancer.packets.rotation import Rotation, has_slow_link
 
 ZONE = 1
 WIDE = 100
 THIN = 7
 
 
-def make_place(number: int, link: int) -> Place:
+def make_place(number: int, link: int) -> BalancerInfo:
     """Return a balancer of the zone."""
-    return Place(f'10.1.0.{number}', 1, ZONE, link)
+    return BalancerInfo(f'10.1.0.{number}', 1, ZONE, link)
 
 
 def list_yielding(links: list[int]) -> list[int]:
@@ -29,7 +29,7 @@
     return [
         own.link_megabits
         for own in places
-        if has_thin_link(own, [one for one in places if one is not own])
+        if has_slow_link(own, [one for one in places if one is not own])
     ]
 
 
@@ -70,27 +70,27 @@
         self.rotation = Rotation(self.now)
         self.own = make_place(1, THIN)
 
-    def decide(self, *links: int) -> bool:
+    def update(self, *links: int) -> bool:
         """Decide beside others with these links."""
         others = [
             make_place(number, link) for number, link in enumerate(links, 2)
         ]
-        return self.rotation.decide(self.own, others, self.now)
+        return self.rotation.update(self.own, others, self.now)
 
     def test_it_yields_after_a_while_and_serves_at_once(self) -> None:
         """Routers move flows each time, but callers must not wait."""
-        self.assertFalse(self.decide(WIDE, WIDE))
-        self.now += defaults.YIELD_SECONDS
-        self.assertTrue(self.decide(WIDE, WIDE))
-        self.assertFalse(self.decide(WIDE, 0))
+        self.assertFalse(self.update(WIDE, WIDE))
+        self.now += defaults.WITHDRAW_DELAY_SECONDS
+        self.assertTrue(self.update(WIDE, WIDE))
+        self.assertFalse(self.update(WIDE, 0))
 
     def test_a_wide_link_that_flaps_does_not_move_flows(self) -> None:
         """The thin one serves until it has stayed for long enough."""
         for _ in range(20):
-            self.now += defaults.YIELD_SECONDS / 2
-            self.assertFalse(self.decide(WIDE, WIDE))
-            self.now += defaults.YIELD_SECONDS / 4
-            self.assertFalse(self.decide(WIDE, 0))
+            self.now += defaults.WITHDRAW_DELAY_SECONDS / 2
+            self.assertFalse(self.update(WIDE, WIDE))
+            self.now += defaults.WITHDRAW_DELAY_SECONDS / 4
+            self.assertFalse(self.update(WIDE, 0))
 
 
 class PlacesTests(TestCase):
@@ -99,34 +99,39 @@
     def test_news_pass_through_others(self) -> None:
         """Each is passed on some times, the latest first."""
         first, second, third = (
-            Places(f'10.1.0.{number}', 'a', 5) for number in (1, 2, 3)
+            BalancerInfoTable(f'10.1.0.{number}', 'a', 5)
+            for number in (1, 2, 3)
         )
-        first.change_own(WIDE)
-        second.take(first.make_rows())
-        third.take(second.make_rows())
+        first.update_own_link(WIDE)
+        second.merge(first.take_updates())
+        third.merge(second.take_updates())
         (other,) = third.list_in_zone({'10.1.0.1'})
         self.assertEqual(other.link_megabits, WIDE)
         for _ in range(100):
-            rows = second.make_rows()
+            rows = second.take_updates()
         self.assertEqual(rows, (second.own,))
 
     def test_older_news_change_nothing(self) -> None:
         """They may come another way round."""
-        first = Places('10.1.0.1', 'a', 5)
-        first.change_own(WIDE)
-        before = first.make_rows()
-        first.change_own(0)
-        other = Places('10.1.0.2', 'a', 5)
-        other.take(first.make_rows())
-        other.take(before)
+        first = BalancerInfoTable('10.1.0.1', 'a', 5)
+        first.update_own_link(WIDE)
+        before = first.take_updates()
+        first.update_own_link(0)
+        other = BalancerInfoTable('10.1.0.2', 'a', 5)
+        other.merge(first.take_updates())
+        other.merge(before)
         self.assertEqual(other.list_in_zone({'10.1.0.1'})[0].link_megabits, 0)
 
     def test_only_those_of_the_zone_that_live_count(self) -> None:
         """Others tell of them for a while."""
-        far = Places('10.1.0.1', 'b', 5)
-        near = Places('10.1.0.3', 'a', 5)
-        own = Places('10.1.0.2', 'a', 5)
-        own.take((*far.make_rows(), *near.make_rows(), *own.make_rows()))
+        far = BalancerInfoTable('10.1.0.1', 'b', 5)
+        near = BalancerInfoTable('10.1.0.3', 'a', 5)
+        own = BalancerInfoTable('10.1.0.2', 'a', 5)
+        own.merge((
+            *far.take_updates(),
+            *near.take_updates(),
+            *own.take_updates(),
+        ))
         self.assertEqual(own.list_in_zone({'10.1.0.1'}), [])
         alive = {'10.1.0.1', '10.1.0.2', '10.1.0.3'}
         (other,) = own.list_in_zone(alive)
--- a/tests/packets/test_uneven.py
+++ b/tests/packets/test_uneven.py
@@ -7,8 +7,10 @@
 from keelgap.packets.features import Features
 from keelgap_balancer.packets.effects import Decided
 from keelgap_balancer.packets.events import CallerPacket, CatalogChanged
-from keelgap_balancer.packets.placing import defaults
-from keelgap_balancer.packets.placing.candidates import list_candidates
+from keelgap_balancer.packets.latency_placement import defaults
+from keelgap_balancer.packets.latency_placement.candidates import (
+    list_candidates,
+)
 from keelgap_balancer.packets.reducer import reduce
 from keelgap_balancer.packets.state import PacketState
 from tests.packets.test_placement import (
@@ -21,7 +23,7 @@
     report_all,
 )
 
-MOST_DRAWN = defaults.DRAWN_NEAR + defaults.DRAWN_FAR
+MOST_DRAWN = defaults.SAMPLED_NEAR + defaults.SAMPLED_FAR
 
 
 def make_large(size: int, zones: int = 3) -> Pattern:
@@ -72,7 +74,7 @@
         near = [view for view in state.by_host.values() if state.is_near(view)]
         cold = {view.host for view in near[:3]}
         for view in near[:3]:
-            view.warm_at = 9
+            view.warm_up_until = 9
         taken = [choose(state, number, 1.1) for number in range(200)]
         self.assertEqual([host for host in taken if host in cold], [])
 
@@ -107,7 +109,7 @@
         list_drawn(state, 1)
         evacuate(state)
         near = [get_zone(state, host) for host in list_drawn(state, 1)]
-        self.assertEqual(near.count('z0'), defaults.DRAWN_NEAR)
+        self.assertEqual(near.count('z0'), defaults.SAMPLED_NEAR)
 
     def test_ejected_ones_are_left_out(self) -> None:
         """Two in five of 102 are ejected: most of those drawn may be."""
@@ -139,7 +141,7 @@
         reduce(state, CatalogChanged(1, later))
         key = make_key(1)
         self.assertTrue(list_candidates(state, 'forum', key, 1, ()))
-        self.assertEqual(set(state.placing.orders), {'forum'})
+        self.assertEqual(set(state.latency_placement.orders), {'forum'})
 
     def test_most_near_ones_owe_an_answer(self) -> None:
         """Ten of 34 are well: flows stay, since these have room."""
@@ -206,9 +208,9 @@
         for host in tuple(state.by_host):
             report = ejected if host == '10.1.0.0' else IDLE
             deliver(state, host, report, 30)
-        before = state.placing.placed_far
+        before = state.latency_placement.placed_far
         self.assertEqual(self.count_lines(state, 2, 30), 0)
-        self.assertEqual(state.placing.placed_far, before + 1)
+        self.assertEqual(state.latency_placement.placed_far, before + 1)
 
     def count_lines(self, state: PacketState, number: int, now: float) -> int:
         """Open a flow; return the lines on flows that went far."""
--- a/tests/packets/test_unlisted.py
+++ b/tests/packets/test_unlisted.py
@@ -189,7 +189,7 @@
         """A caller whose flow may live is told nothing."""
         self.reuse()
         self.deny_at_others()
-        self.now += defaults.SEARCH_STEP_SECONDS * 2
+        self.now += defaults.SEARCH_STEP_TIMEOUT_SECONDS * 2
         effects = self.take(TimerFired(self.now))
         self.assertFalse(
             [one for one in effects if isinstance(one, SendReset)],
@@ -257,7 +257,7 @@
         self.change(make_catalog(5, rows)._replace(missed=(missed,)))
         (asked,) = self.deny(3)
         self.assertEqual(asked.host, '10.0.0.7')
-        self.now += defaults.GONE_SECONDS + 0.1
+        self.now += defaults.MISSING_ENTRY_SECONDS + 0.1
         self.take(TimerFired(self.now))
         self.assertNotIn('10.0.0.7', self.state.by_host)
 
@@ -276,7 +276,7 @@
         later = self.boards[0]._replace(revision=4)
         self.change(make_catalog(5, rows)._replace(missed=(later,)))
         view = self.state.agents[later.identity]
-        self.assertEqual(view.gone_since, self.now)
+        self.assertEqual(view.missing_since, self.now)
         self.assertEqual(len(self.state.agents), 4)
 
     def test_verdict_waits_where_nothing_tells_of_them(self) -> None:
@@ -302,7 +302,7 @@
         self.deny(3)
         self.now += 1.5
         self.send(ACK)
-        self.now += defaults.GONE_SECONDS - 1.4
+        self.now += defaults.MISSING_ENTRY_SECONDS - 1.4
         self.assertTrue(self.find_resets())
 
     def find_resets(self) -> list[Any]:
