--- a/experiments/outage/world.py
+++ b/experiments/outage/world.py
@@ -265,7 +265,7 @@
                 self._post(effect.host, host, effect.envelope, state)
             elif isinstance(effect, balancer_effects.SendReset):
                 self._reset(effect.datagram)
-            elif isinstance(effect, balancer_effects.TellBalancers):
+            elif isinstance(effect, balancer_effects.SendToBalancers):
                 envelope = Envelope(effect.kind, 0, 0, 0, 0, 0, effect.content)
                 for other in sorted(self.balancers.keys() - {host}):
                     self._post(other, host, envelope, state)
--- a/experiments/packet_slopes.py
+++ b/experiments/packet_slopes.py
@@ -38,7 +38,7 @@
     TimerFired,
 )
 from keelgap_balancer.packets.placement import choose_agent
-from keelgap_balancer.packets.state import PacketState, make_owners
+from keelgap_balancer.packets.state import PacketState, make_owner_cache
 from keelgap_platform.layout import make_packet_format
 
 SIZES = (1000, 4000, 17000)
@@ -151,7 +151,7 @@
         packet = make_packet(number, routes[number % len(routes)], ACK)
         key = packet_format.caller_key(packet)
         owner = owners.get(key)
-        state.owners = make_owners(0)
+        state.owners = make_owner_cache(0)
         event: Any = CallerPacket(0, packet)
         while owner is not None:
             _, effects = reducer.reduce(state, event)
@@ -186,7 +186,7 @@
             Features(placement=is_on),
         )
         reducer.reduce(state, CatalogChanged(0, catalog))
-        for view in state.by_host.values():
+        for view in state.agents_by_host.values():
             view.report = report
         choose = partial(choose_numbered, state, route)
         taken[f'{way}_us'] = measure(choose, 2000)
@@ -210,7 +210,7 @@
     in_agent, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     tracemalloc.start()
-    owners = make_owners(0)
+    owners = make_owner_cache(0)
     nobody: Any = None
     for number in range(count):
         owners.young[number.to_bytes(12, 'little')] = nobody
--- a/experiments/placing_model.py
+++ b/experiments/placing_model.py
@@ -129,7 +129,7 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.count = 0
         self.upstreams = self._make_upstreams()
-        self.by_host = {one.host: one for one in self.upstreams}
+        self.agents_by_host = {one.host: one for one in self.upstreams}
         self.balancers = self._make_balancers(features)
         self.late = [0] * pattern.zones
         self.asked = [0] * pattern.zones
@@ -180,7 +180,7 @@
         key = FORMAT.caller_key(packet)
         host = self.offer(balancer, packet)
         self.placed += 1
-        self.far += self.by_host[host].zone != zone
+        self.far += self.agents_by_host[host].zone != zone
         self.decisions.append((balancer, key, host))
         return balancer, self.port, host
 
@@ -189,7 +189,7 @@
         event = CallerPacket(self.now, packet)
         _, effects = reduce(self.balancers[balancer], event)
         sent = next(one for one in effects if isinstance(one, SendToAgent))
-        self.by_host[sent.host].owed.add(balancer)
+        self.agents_by_host[sent.host].owed.add(balancer)
         return sent.host
 
     def serve(
@@ -239,7 +239,7 @@
     def _open_brief(self, zone: int) -> None:
         self._next_brief(zone)
         balancer, number, host = self.place(zone, BRIEF)
-        upstream = self.by_host[host]
+        upstream = self.agents_by_host[host]
         upstream.flows += 1
 
         def end(taken: float) -> None:
@@ -251,7 +251,7 @@
 
     def _live_long(self, zone: int) -> None:
         _, _, host = self.place(zone, LONG)
-        upstream = self.by_host[host]
+        upstream = self.agents_by_host[host]
         upstream.flows += 1
         span = self.random.expovariate(1 / self.pattern.long_seconds)
         ends = self.now + span
@@ -366,7 +366,7 @@
     now: float,
 ) -> None:
     """Let a balancer hear a report."""
-    tag = state.by_host[host].service_tag
+    tag = state.agents_by_host[host].service_tag
     content = pack_report(report, 1)
     envelope = Envelope(EnvelopeKind.REPORT, 0, 0, 0, 0, tag, content)
     reduce(state, EnvelopeArrived(now, host, envelope))
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
@@ -6,7 +6,7 @@
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.caller_waits import get_caller_host
 from keelgap_balancer.packets.placement import choose_service
-from keelgap_balancer.packets.searches import Search
+from keelgap_balancer.packets.searches import FlowSearch
 from keelgap_balancer.packets.shares import Queue
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.views import AgentView
@@ -44,9 +44,9 @@
     level = shares.get_level(queue, now)
     if level is None:
         return None
-    views = state.by_service.get(queue.service, ())
+    views = state.agents_by_service.get(queue.service, ())
     if any(_is_idle(view, now) for view in views):
-        shares.note_idle(queue, now)
+        shares.raise_level(queue, now)
     recent_flows = shares.read(queue, get_caller_host(key), now)
     return None if recent_flows < level else Excess(recent_flows, level)
 
@@ -56,14 +56,14 @@
     return Queue(choose_service(route, key), route.priority)
 
 
-def has_enough_refusals(search: Search) -> bool:
+def has_enough_refusals(search: FlowSearch) -> bool:
     """Return whether enough agents refused a flow for lack of time.
 
     After that, only agents whose reports show free capacity are asked.  A
     single refusal is not enough, since reports may be some ten milliseconds
     old.  A balancer without messages from agents refuses no flow.
     """
-    return search.lacks_time >= defaults.MIN_TIME_REFUSALS
+    return search.time_refusals >= defaults.MIN_TIME_REFUSALS
 
 
 def list_full_hosts(
@@ -77,7 +77,7 @@
     For a flow that is late already, only hosts without a queue have capacity.
     """
     service = choose_service(route, key)
-    views = state.by_service.get(service, ())
+    views = state.agents_by_service.get(service, ())
     remaining_seconds = max(
         route.target_seconds - state.caller_waits.get_request_age(key, now), 0
     )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/ages.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/ages.py
@@ -171,7 +171,7 @@
         for key in old:
             self._remove(key)
 
-    def note_refusal(self, key: bytes, now: float) -> None:
+    def record_refusal(self, key: bytes, now: float) -> None:
         """Expect a retry from the caller of a refused flow.
 
         After the last attempt none is expected: the next request from that
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/asking.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/asking.py
@@ -7,22 +7,22 @@
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import Decided, PacketEffect
-from keelgap_balancer.packets.searches import Search
+from keelgap_balancer.packets.searches import FlowSearch
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.unlisted import find_agent
-from keelgap_balancer.packets.verdicts import list_undenied
+from keelgap_balancer.packets.verdicts import list_possible_owners
 from keelgap_balancer.packets.views import AgentView
 
-__all__ = ('ask', 'ask_next', 'ask_unproved')
+__all__ = ('send_query', 'query_host', 'query_candidates')
 
 Effects = tuple[PacketEffect, ...]
 
 
-def ask_unproved(
+def query_candidates(
     state: PacketState,
-    search: Search,
+    search: FlowSearch,
     route: PacketRoute,
-    nodes: tuple[str, ...],
+    directory_nodes: tuple[str, ...],
     key: bytes,
     now: float,
 ) -> Effects | None:
@@ -31,36 +31,40 @@
     Agents for which no directory node denied the flow come first, then those
     for which only one node did.
     """
-    undenied = list_undenied(state, search, route, nodes, 1)
+    undenied = list_possible_owners(state, search, route, directory_nodes, 1)
     if undenied:
-        if _awaits_coverage(search, undenied, nodes, now):
+        if _awaits_coverage(search, undenied, directory_nodes, now):
             return ()
         return _query_agents(state, search, key, undenied, now)
     # One node may have missed a registration, or not received it yet.
-    unconfirmed = list_undenied(state, search, route, nodes, REPLICAS)
+    unconfirmed = list_possible_owners(
+        state, search, route, directory_nodes, REPLICAS
+    )
     if not unconfirmed:
         return None
-    is_early = _awaits_directory(search, unconfirmed, nodes, now)
-    if is_early or _is_node_unresponsive(search, unconfirmed, nodes):
+    is_early = _awaits_directory(search, unconfirmed, directory_nodes, now)
+    if is_early or _is_node_unresponsive(search, unconfirmed, directory_nodes):
         return ()
     return _query_agents(state, search, key, unconfirmed, now)
 
 
 def _awaits_directory(
-    search: Search,
+    search: FlowSearch,
     agents: list[AgentView],
-    nodes: tuple[str, ...],
+    directory_nodes: tuple[str, ...],
     now: float,
 ) -> bool:
     """Return whether the directory may soon cover more of many agents."""
-    is_early = now - search.started < defaults.DIRECTORY_TIMEOUT_SECONDS
-    return bool(nodes) and is_early and len(agents) > defaults.MAX_ASKED
+    is_early = now - search.started_at < defaults.DIRECTORY_TIMEOUT_SECONDS
+    return (
+        bool(directory_nodes) and is_early and len(agents) > defaults.MAX_ASKED
+    )
 
 
 def _awaits_coverage(
-    search: Search,
+    search: FlowSearch,
     uncovered: list[AgentView],
-    nodes: tuple[str, ...],
+    directory_nodes: tuple[str, ...],
     now: float,
 ) -> bool:
     """Return whether uncovered agents may soon be covered by a node.
@@ -68,30 +72,32 @@
     Once all nodes have answered, this applies only to agents that have just
     started.
     """
-    if not _awaits_directory(search, uncovered, nodes, now):
+    if not _awaits_directory(search, uncovered, directory_nodes, now):
         return False
-    is_answered = search.denied.keys() >= set(nodes)
-    waited = now - search.started
+    is_answered = search.denying_nodes.keys() >= set(directory_nodes)
+    waited = now - search.started_at
     return not is_answered or waited < defaults.COVERAGE_WAIT_SECONDS
 
 
 def _is_node_unresponsive(
-    search: Search,
+    search: FlowSearch,
     unconfirmed: list[AgentView],
-    nodes: tuple[str, ...],
+    directory_nodes: tuple[str, ...],
 ) -> bool:
     """Return whether the answer of a node is missing for many agents.
 
     The node is itself an agent that would have to deny the flow and cannot, so
     querying the others could not conclude the search.
     """
-    answers = search.denied.keys()
-    return len(unconfirmed) > defaults.MAX_ASKED and not answers >= set(nodes)
+    answers = search.denying_nodes.keys()
+    return len(unconfirmed) > defaults.MAX_ASKED and not answers >= set(
+        directory_nodes
+    )
 
 
 def _query_agents(
     state: PacketState,
-    search: Search,
+    search: FlowSearch,
     key: bytes,
     agents: list[AgentView],
     now: float,
@@ -103,21 +109,23 @@
     are queried at once.
     """
     ranked = _rank_agents(state, agents, key, now)
-    unqueried = [view.host for view in ranked if view.host not in search.asked]
+    unqueried = [
+        view.host for view in ranked if view.host not in search.queried_hosts
+    ]
     if not unqueried:
-        return _ask_again(state, search, ranked, now)
+        return _query_again(state, search, ranked, now)
     are_many = len(agents) > defaults.MAX_ASKED
     batch_size = defaults.SEARCH_FANOUT if are_many else 1
     return tuple(
         effect
         for host in unqueried[:batch_size]
-        for effect in ask_next(state, search, host, now)
+        for effect in query_host(state, search, host, now)
     )
 
 
-def _ask_again(
+def _query_again(
     state: PacketState,
-    search: Search,
+    search: FlowSearch,
     unresponsive: list[AgentView],
     now: float,
 ) -> Effects:
@@ -125,26 +133,26 @@
 
     A missing answer is not a denial.
     """
-    position = len(search.asked) % len(unresponsive)
-    return ask_next(state, search, unresponsive[position].host, now)
+    position = len(search.queried_hosts) % len(unresponsive)
+    return query_host(state, search, unresponsive[position].host, now)
 
 
-def ask_next(
+def query_host(
     state: PacketState,
-    search: Search,
+    search: FlowSearch,
     host: str,
     now: float,
 ) -> Effects:
-    search.asked.append(host)
-    search.pending = host
+    search.queried_hosts.append(host)
+    search.pending_host = host
     search.pending_since = now
-    search.questions += 1
-    return ask(state, search, host, search.latest)
+    search.query_count += 1
+    return send_query(state, search, host, search.latest_packet)
 
 
-def ask(
+def send_query(
     state: PacketState,
-    search: Search,
+    search: FlowSearch,
     host: str,
     datagram: bytes,
 ) -> Effects:
@@ -153,7 +161,7 @@
     if view is None:
         return (Decided('search_agent_unknown'),)
     view.expect_answer(search.pending_since)
-    hop = len(search.asked)
+    hop = len(search.queried_hosts)
     return (view.send(EnvelopeKind.SEARCH, datagram, hop),)
 
 
@@ -172,7 +180,7 @@
         agents,
         key=lambda view: (
             view.missing_since is not None or view.is_unresponsive(now),
-            not state.is_near(view),
+            not state.is_same_zone(view),
             xxh3_64_intdigest(key, view.start_hash),
         ),
     )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/directories.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/directories.py
@@ -29,18 +29,18 @@
 from keelgap_balancer.packets.views import AgentView, DirectoryNodeView
 
 __all__ = (
-    'ask_waiting',
-    'change_directories',
-    'look_up',
-    'take_answer',
-    'take_coverage',
-    'tell_uncovered',
+    'send_queued_lookups',
+    'rebuild_directories',
+    'queue_lookup',
+    'handle_lookup_answer',
+    'handle_coverage',
+    'notify_uncovered',
 )
 
 Effects = tuple[PacketEffect, ...]
 
 
-def change_directories(state: PacketState, now: float) -> Effects:
+def rebuild_directories(state: PacketState, now: float) -> Effects:
     """Recompute the directories from the catalog in force.
 
     Where the nodes of a directory changed, the agents of the service in the
@@ -49,7 +49,7 @@
     previous = state.directories
     directories = {
         service: _make_directory(state, views)
-        for service, views in state.by_service.items()
+        for service, views in state.agents_by_service.items()
     }
     state.directories = {
         service: directory
@@ -83,23 +83,25 @@
             make_notice(state, view, now),
             REPORT_FORMAT,
         )
-        for view in state.by_service[service]
-        if state.is_near(view)
+        for view in state.agents_by_service[service]
+        if state.is_same_zone(view)
     )
 
 
-def look_up(state: PacketState, host: str, key: bytes, now: float) -> Effects:
+def queue_lookup(
+    state: PacketState, host: str, key: bytes, now: float
+) -> Effects:
     """Look up a flow at a directory node, or queue it if the node is busy."""
-    node = state.nodes.setdefault(host, DirectoryNodeView())
+    node = state.directory_nodes.setdefault(host, DirectoryNodeView())
     node.waiting[key] = None
     asked_at = node.asked_at
     is_busy = asked_at is not None and (
         now - asked_at < defaults.LOOKUP_TIMEOUT_SECONDS
     )
-    return () if is_busy else ask_waiting(state, host, node, now)
+    return () if is_busy else send_queued_lookups(state, host, node, now)
 
 
-def take_answer(
+def handle_lookup_answer(
     state: PacketState,
     event: EnvelopeArrived,
 ) -> tuple[LookupResponse, Effects]:
@@ -108,19 +110,19 @@
     Raises MalformedEnvelope.
     """
     lookup = unpack_lookup_response(event.envelope.content)
-    node = state.nodes.setdefault(event.sender, DirectoryNodeView())
+    node = state.directory_nodes.setdefault(event.sender, DirectoryNodeView())
     node.asked_at = None
     node.was_asked_again = False
-    return lookup, ask_waiting(state, event.sender, node, event.now)
+    return lookup, send_queued_lookups(state, event.sender, node, event.now)
 
 
-def take_coverage(state: PacketState, event: EnvelopeArrived) -> bool:
+def handle_coverage(state: PacketState, event: EnvelopeArrived) -> bool:
     """Store one part of a node's coverage; return whether it is complete.
 
     Raises MalformedEnvelope.
     """
     coverage = unpack_coverage(event.envelope.content)
-    node = state.nodes.setdefault(event.sender, DirectoryNodeView())
+    node = state.directory_nodes.setdefault(event.sender, DirectoryNodeView())
     if not coverage.part:
         node.parts = {}
     node.parts[coverage.part] = coverage.hosts
@@ -137,15 +139,15 @@
     return True
 
 
-def tell_uncovered(state: PacketState, host: str, now: float) -> Effects:
+def notify_uncovered(state: PacketState, host: str, now: float) -> Effects:
     """Send the directory to agents that one of its nodes does not cover yet.
 
     They may have just started, and their next poll may be far away.
     """
-    covered = state.nodes[host].covered
-    service = state.by_host[host].upstream.service
+    covered = state.directory_nodes[host].covered
+    service = state.agents_by_host[host].upstream.service
     effects = []
-    for view in state.by_service.get(service, ()):
+    for view in state.agents_by_service.get(service, ()):
         is_due = now - view.last_notice_at >= defaults.NOTICE_INTERVAL_SECONDS
         if view.host not in covered and is_due:
             view.last_notice_at = now
@@ -156,7 +158,7 @@
     return tuple(effects)
 
 
-def ask_waiting(
+def send_queued_lookups(
     state: PacketState,
     host: str,
     node: DirectoryNodeView,
@@ -164,7 +166,7 @@
 ) -> Effects:
     """Look up the flows that are queued for a directory node."""
     keys = tuple(islice(node.waiting, MAX_KEYS_PER_MESSAGE))
-    view = state.by_host.get(host)
+    view = state.agents_by_host.get(host)
     if view is None or not keys:
         return ()
     for key in keys:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/effects.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/effects.py
@@ -5,14 +5,14 @@
 from keelgap.packets.envelopes import Envelope
 
 __all__ = (
-    'CatchUp',
+    'RefreshCatalog',
     'Decided',
     'Observed',
     'PacketEffect',
     'SendReset',
     'SendToAgent',
-    'TellBalancers',
-    'keep_one_catch_up',
+    'SendToBalancers',
+    'keep_one_refresh',
 )
 
 
@@ -23,7 +23,7 @@
     envelope: Envelope
 
 
-class TellBalancers(NamedTuple):
+class SendToBalancers(NamedTuple):
     """Send a message to the other balancers."""
 
     kind: int
@@ -36,7 +36,7 @@
     datagram: bytes
 
 
-class CatchUp(NamedTuple):
+class RefreshCatalog(NamedTuple):
     """Read the latest changes of the store now; a search waits for them."""
 
 
@@ -56,12 +56,17 @@
 
 
 PacketEffect = (
-    Observed | SendToAgent | TellBalancers | SendReset | CatchUp | Decided
+    Observed
+    | SendToAgent
+    | SendToBalancers
+    | SendReset
+    | RefreshCatalog
+    | Decided
 )
-_REFRESH: Final = CatchUp()
+_REFRESH: Final = RefreshCatalog()
 
 
-def keep_one_catch_up(
+def keep_one_refresh(
     effects: tuple[PacketEffect, ...],
 ) -> tuple[PacketEffect, ...]:
     """Merge the requests of one event to refresh the catalog into one.
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/ejection.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/ejection.py
@@ -12,7 +12,7 @@
 from keelgap.packets.envelopes import EnvelopeKind, LoadReport
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import Decided, PacketEffect
-from keelgap_balancer.packets.state import LeftOutDecision, PacketState
+from keelgap_balancer.packets.state import ExclusionDecision, PacketState
 from keelgap_balancer.packets.views import AgentView
 
 __all__ = (
@@ -37,27 +37,27 @@
     """Apply the ejection state in an agent's report on its upstream."""
     if not state.features.ejection:
         return ()
-    wanting = state.ejections.wanting
+    awaiting_trial = state.ejections.awaiting_trial
     if report.wants_trial:
-        wanting.setdefault(view, now)
+        awaiting_trial.setdefault(view, now)
     else:
-        wanting.pop(view, None)
-    if report.is_ejected == (view in state.ejections.out):
+        awaiting_trial.pop(view, None)
+    if report.is_ejected == (view in state.ejections.ejected_since):
         return ()
-    state.ejections.decisions.clear()
+    state.ejections.exclusions.clear()
     if report.is_ejected:
-        state.ejections.out[view] = now
+        state.ejections.ejected_since[view] = now
     else:
-        state.ejections.out.pop(view)
+        state.ejections.ejected_since.pop(view)
     return (_log_change(state, view, now, is_ejected_now=report.is_ejected),)
 
 
 def forget_ejections(state: PacketState) -> None:
     """Forget the ejections of upstreams that are no longer known."""
-    for view in tuple(state.ejections.out):
+    for view in tuple(state.ejections.ejected_since):
         if state.agents.get(view.upstream.identity) is not view:
-            state.ejections.out.pop(view)
-            state.ejections.wanting.pop(view, None)
+            state.ejections.ejected_since.pop(view)
+            state.ejections.awaiting_trial.pop(view, None)
 
 
 def find_excluded(
@@ -73,18 +73,18 @@
     already asked to take a flow.  Upstreams with an unresponsive agent do not
     count as serving.
     """
-    out = state.ejections.out
-    if not any(view.upstream.service == service for view in out):
+    ejected_since = state.ejections.ejected_since
+    if not any(view.upstream.service == service for view in ejected_since):
         return ()
-    views = state.by_service.get(service, ())
+    views = state.agents_by_service.get(service, ())
     if len(views) <= defaults.EXCLUSION_CACHE_THRESHOLD:
-        return out if _has_enough_slots(state, views, now) else ()
-    known = state.ejections.decisions.get(service)
+        return ejected_since if _has_enough_slots(state, views, now) else ()
+    known = state.ejections.exclusions.get(service)
     if known is None or not known.is_valid(views, now):
         suffice = _has_enough_slots(state, views, now)
-        known = LeftOutDecision(views, now, do_others_suffice=suffice)
-        state.ejections.decisions[service] = known
-    return out if known.do_others_suffice else ()
+        known = ExclusionDecision(views, now, is_capacity_sufficient=suffice)
+        state.ejections.exclusions[service] = known
+    return ejected_since if known.is_capacity_sufficient else ()
 
 
 def choose_trial_upstream(
@@ -99,7 +99,7 @@
     time, any flow may be one.  Upstreams of other availability zones are left
     to the balancers there, unless those do not send a trial in time.
     """
-    for view, since in state.ejections.wanting.items():
+    for view, since in state.ejections.awaiting_trial.items():
         waited = now - since
         if (
             not _may_send_trial(state, view, now)
@@ -119,7 +119,7 @@
     route: PacketRoute,
 ) -> EnvelopeKind:
     """Return the kind of envelope that offers a new flow to an agent."""
-    if route.is_idempotent and view in state.ejections.out:
+    if route.is_idempotent and view in state.ejections.ejected_since:
         return EnvelopeKind.TRY
     return EnvelopeKind.OPEN
 
@@ -135,7 +135,9 @@
     for view in views:
         if _is_candidate(state, view, now):
             all_slots += view.upstream.slots
-            ejected_slots += view.upstream.slots * (view in state.ejections.out)
+            ejected_slots += view.upstream.slots * (
+                view in state.ejections.ejected_since
+            )
     return all_slots - ejected_slots >= defaults.MIN_SERVING_SHARE * all_slots
 
 
@@ -162,7 +164,9 @@
     """Return whether to leave the trial of an upstream to another flow."""
     if not route.is_idempotent:
         return waited < defaults.ANY_TRIAL_SECONDS
-    return not state.is_near(view) and waited < defaults.REMOTE_TRIAL_SECONDS
+    return (
+        not state.is_same_zone(view) and waited < defaults.REMOTE_TRIAL_SECONDS
+    )
 
 
 def _log_change(
@@ -176,10 +180,10 @@
     upstream = view.upstream
     views = [
         one
-        for one in state.by_service.get(upstream.service, ())
+        for one in state.agents_by_service.get(upstream.service, ())
         if one.accepts_flows() and not state.is_evacuated(one)
     ]
-    ejected = [one for one in views if one in state.ejections.out]
+    ejected = [one for one in views if one in state.ejections.ejected_since]
     excluded = find_excluded(state, upstream.service, now)
     fields = {
         'upstream': upstream.upstream_id,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/events.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/events.py
@@ -13,8 +13,8 @@
     'CatalogChanged',
     'EnvelopeArrived',
     'PacketEvent',
-    'StampHeard',
-    'StoreSeen',
+    'PeerStampReceived',
+    'StorePolled',
     'TimerFired',
 )
 
@@ -42,7 +42,7 @@
     catalog: Catalog
 
 
-class StoreSeen(NamedTuple):
+class StorePolled(NamedTuple):
     """The store answered without changes, or does not answer any more."""
 
     now: float
@@ -53,7 +53,7 @@
     reaches_store: bool
 
 
-class StampHeard(NamedTuple):
+class PeerStampReceived(NamedTuple):
     """Another balancer sent what it knows of the store."""
 
     now: float
@@ -72,7 +72,7 @@
     CallerPacket
     | EnvelopeArrived
     | CatalogChanged
-    | StampHeard
-    | StoreSeen
+    | PeerStampReceived
+    | StorePolled
     | TimerFired
 )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/giving_up.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/giving_up.py
@@ -4,9 +4,12 @@
 from keelgap.runtime.lines import MAX_LISTED
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import Decided, PacketEffect
-from keelgap_balancer.packets.searches import Search
+from keelgap_balancer.packets.searches import FlowSearch
 from keelgap_balancer.packets.state import PacketState
-from keelgap_balancer.packets.verdicts import list_nodes, list_undenied
+from keelgap_balancer.packets.verdicts import (
+    list_directory_nodes,
+    list_possible_owners,
+)
 
 __all__ = ('expire_searches',)
 
@@ -27,35 +30,39 @@
     )
 
 
-def _is_expired(search: Search, now: float) -> bool:
+def _is_expired(search: FlowSearch, now: float) -> bool:
     """Return whether to drop a search.
 
     The time limit does not apply to a suspended search, which sends no queries
     and is resumed before its caller repeats its packet.  A caller that has not
     repeated its packet has left, whatever the state of the search.
     """
-    if now - search.heard > defaults.CALLER_SILENCE_SECONDS:
+    if now - search.last_packet_at > defaults.CALLER_SILENCE_SECONDS:
         return True
-    has_timed_out = now - search.renewed > defaults.SEARCH_TIMEOUT_SECONDS
-    return has_timed_out and not search.is_waiting
+    has_timed_out = now - search.active_since > defaults.SEARCH_TIMEOUT_SECONDS
+    return has_timed_out and not search.is_suspended
 
 
-def _log_expired(state: PacketState, key: bytes, search: Search) -> Effects:
+def _log_expired(state: PacketState, key: bytes, search: FlowSearch) -> Effects:
     """Log which agents may hold a flow that was neither found nor reset."""
-    route = state.find_route(search.latest) if search.latest else None
+    route = (
+        state.find_route(search.latest_packet) if search.latest_packet else None
+    )
     if route is None:
         # A new flow that was offered to several agents, or a removed route.
         return ()
-    nodes = list_nodes(state, route, key)
-    undenied = list_undenied(state, search, route, nodes, 1)
-    unsure = list_undenied(state, search, route, nodes, REPLICAS)
+    directory_nodes = list_directory_nodes(state, route, key)
+    undenied = list_possible_owners(state, search, route, directory_nodes, 1)
+    unsure = list_possible_owners(
+        state, search, route, directory_nodes, REPLICAS
+    )
     fields = {
         'flow': state.format.describe_key(key),
-        'asked': search.questions,
+        'asked': search.query_count,
         'undenied': len(undenied),
         'hosts': [view.host for view in undenied[:MAX_LISTED]],
         'unsure': len(unsure),
-        'nodes': nodes,
-        'denied_by': tuple(search.denied),
+        'nodes': directory_nodes,
+        'denied_by': tuple(search.denying_nodes),
     }
     return (Decided('search_given_up', fields),)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
@@ -17,7 +17,7 @@
 from keelgap.sockets import send_datagram
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.balancer_infos import BalancerInfoTable
-from keelgap_balancer.packets.effects import TellBalancers
+from keelgap_balancer.packets.effects import SendToBalancers
 from keelgap_balancer.packets.gossip import (
     GossipMessage,
     MalformedGossip,
@@ -78,7 +78,7 @@
             wants_reply = may_probe and self.peers.start_probe(host, now)
             self._send_to_peer(host, wants_reply=wants_reply)
 
-    def broadcast(self, effect: TellBalancers) -> None:
+    def broadcast(self, effect: SendToBalancers) -> None:
         """Send an envelope with other contents to the other balancers."""
         envelope = Envelope(
             effect.kind,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/greeting.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/greeting.py
@@ -17,25 +17,27 @@
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.views import AgentView
 
-__all__ = ('greet_agents',)
+__all__ = ('poll_agents',)
 
 Effects = tuple[PacketEffect, ...]
 
 
-def greet_agents(state: PacketState, now: float) -> Effects:
+def poll_agents(state: PacketState, now: float) -> Effects:
     """Request load reports from the agents that are due."""
-    if len(state.by_host) > defaults.MAX_POLLED_AGENTS:
+    if len(state.agents_by_host) > defaults.MAX_POLLED_AGENTS:
         batch = _next_batch(state)
     else:
         batch = [
-            view for view in state.by_host.values() if view.next_poll_at <= now
+            view
+            for view in state.agents_by_host.values()
+            if view.next_poll_at <= now
         ]
-    is_zone_sparse = state.greeting.near_agents < defaults.MIN_NEAR_AGENTS
+    is_zone_sparse = state.polling.zone_agent_count < defaults.MIN_NEAR_AGENTS
     effects = []
     for view in batch:
         view.expect_answer(now)
         notice = make_notice(state, view, now)
-        if is_zone_sparse or state.is_near(view):
+        if is_zone_sparse or state.is_same_zone(view):
             view.next_poll_at = now + defaults.POLL_INTERVAL_SECONDS
             effects.append(view.send(EnvelopeKind.HELLO, notice, REPORT_FORMAT))
         else:
@@ -51,12 +53,12 @@
     an order would poll each agent at the same moment, and then not again for
     many seconds.
     """
-    batch = list(islice(state.greeting.left, defaults.POLLS_PER_TICK))
+    batch = list(islice(state.polling.remaining, defaults.POLLS_PER_TICK))
     if not batch:
-        seed = state.greeting.seed
-        state.greeting.left = iter(
+        seed = state.polling.seed
+        state.polling.remaining = iter(
             sorted(
-                state.by_host.values(),
+                state.agents_by_host.values(),
                 key=lambda view: xxh3_64_intdigest(view.host.encode(), seed),
             )
         )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/inheriting.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/inheriting.py
@@ -27,30 +27,30 @@
 )
 from keelgap_balancer.packets.events import EnvelopeArrived
 from keelgap_balancer.packets.state import PacketState
-from keelgap_balancer.packets.unlisted import note_service
+from keelgap_balancer.packets.unlisted import record_service
 
-__all__ = ('answer_asked', 'ask_balancer', 'take_served')
+__all__ = ('answer_peer_query', 'query_peer', 'handle_served_hosts')
 
 Effects = tuple[PacketEffect, ...]
 #: Messages between balancers concern no service.
 _NO_SERVICE_TAG: Final = 0
 
 
-def ask_balancer(state: PacketState, host: str, now: float) -> Effects:
+def query_peer(state: PacketState, host: str, now: float) -> Effects:
     """Query a balancer that is heard within INHERIT_SECONDS of the start.
 
     The query is repeated with its later messages, since one may be lost.
     """
-    informed_at = state.informed_at
-    if informed_at is None or not host:
+    first_catalog_at = state.first_catalog_at
+    if first_catalog_at is None or not host:
         return ()
-    asked_at = state.holders.asked.get(host, float('-inf'))
-    is_over = now - informed_at > defaults.INHERIT_SECONDS
+    asked_at = state.catalog_gaps.queried_peers.get(host, float('-inf'))
+    is_over = now - first_catalog_at > defaults.INHERIT_SECONDS
     if is_over or now - asked_at < defaults.INHERIT_INTERVAL_SECONDS:
         return ()
-    state.holders.asked[host] = now
+    state.catalog_gaps.queried_peers[host] = now
     question = ServedHostsRequest(
-        state.holders.first_revision,
+        state.catalog_gaps.first_revision,
         digest_served(_list_served(state)),
     )
     return (
@@ -72,12 +72,12 @@
     """Return the hosts of the catalog in force and their services."""
     return [
         ServedHost(view.host, view.service_tag)
-        for view in state.by_host.values()
+        for view in state.agents_by_host.values()
         if view.missing_since is None
     ]
 
 
-def answer_asked(state: PacketState, event: EnvelopeArrived) -> Effects:
+def answer_peer_query(state: PacketState, event: EnvelopeArrived) -> Effects:
     """Send the known hosts and their services to a balancer started later.
 
     One answer is enough: the balancer follows all changes from its first
@@ -88,15 +88,15 @@
         question = unpack_served_request(event.envelope.content)
     except MalformedEnvelope as error:
         return (Decided(error.code),)
-    answered = state.holders.told
+    answered = state.catalog_gaps.answered_peers
     is_answered = answered.get(event.sender) == question.first_revision
-    began_later = state.holders.first_revision < question.first_revision
+    began_later = state.catalog_gaps.first_revision < question.first_revision
     if is_answered or not state.has_catalog or not began_later:
         return ()
     served = _list_served(state)
     unlisted = [
         ServedHost(view.host, view.service_tag)
-        for view in state.holders.unlisted.values()
+        for view in state.catalog_gaps.unlisted.values()
     ]
     if not unlisted and digest_served(served) == question.digest:
         return ()
@@ -107,7 +107,7 @@
     return (_make_message(event.sender, EnvelopeKind.SERVED_TOLD, content),)
 
 
-def take_served(state: PacketState, event: EnvelopeArrived) -> Effects:
+def handle_served_hosts(state: PacketState, event: EnvelopeArrived) -> Effects:
     """Record where other balancers offer flows, or did until recently."""
     try:
         rows = unpack_served(event.envelope.content)
@@ -116,6 +116,8 @@
     effects = [
         effect
         for row in rows
-        for effect in note_service(state, row.host, row.service_tag, event.now)
+        for effect in record_service(
+            state, row.host, row.service_tag, event.now
+        )
     ]
     return tuple(effects)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/membership.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/membership.py
@@ -7,11 +7,11 @@
 )
 from keelgap.runtime.lines import MAX_LISTED
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.directories import change_directories
+from keelgap_balancer.packets.directories import rebuild_directories
 from keelgap_balancer.packets.effects import Decided, PacketEffect
 from keelgap_balancer.packets.notices import notify_zones
 from keelgap_balancer.packets.state import FormerRoute, PacketState
-from keelgap_balancer.packets.unlisted import note_displaced
+from keelgap_balancer.packets.unlisted import record_displaced
 from keelgap_balancer.packets.views import AgentView
 
 __all__ = ('change_catalog', 'forget_former_routes', 'forget_gone')
@@ -35,18 +35,18 @@
     state.catalog = catalog
     state.confirmed_revision = max(state.confirmed_revision, catalog.revision)
     state.latest_change = max(state.latest_change, catalog.latest_change)
-    if state.informed_at is None:
-        state.informed_at = now
-        state.holders.first_revision = catalog.revision
+    if state.first_catalog_at is None:
+        state.first_catalog_at = now
+        state.catalog_gaps.first_revision = catalog.revision
     if catalog.has_gap:
-        state.holders.gap_at = now
-    by_host = state.by_host
+        state.catalog_gaps.gap_at = now
+    agents_by_host = state.agents_by_host
     effects = _apply_upstreams(state, catalog, now)
     _rebuild_indexes(state)
-    note_displaced(state, by_host, now)
+    record_displaced(state, agents_by_host, now)
     return (
         *effects,
-        *change_directories(state, now),
+        *rebuild_directories(state, now),
         *_report_zone_changes(state, before, now),
     )
 
@@ -111,12 +111,12 @@
     missing = [
         identity
         for identity in state.agents
-        if identity not in listed and identity not in state.gone
+        if identity not in listed and identity not in state.missing
     ]
     for identity in missing:
         change = _mark_missing(state, identity, catalog, now)
         changed.setdefault(change, []).append(identity.upstream_id)
-    for returned in tuple(state.gone):
+    for returned in tuple(state.missing):
         if returned.upstream_id in catalog.upstreams:
             _replace_process(state, returned, now)
     return tuple(
@@ -139,7 +139,7 @@
         return 'added'
     before = view.upstream.state
     view.update_upstream(upstream, now)
-    state.gone.discard(identity)
+    state.missing.discard(identity)
     return '' if before == upstream.state else upstream.state
 
 
@@ -155,7 +155,7 @@
     view = AgentView(upstream, now)
     view.missing_since = now
     state.agents[upstream.identity] = view
-    state.gone.add(upstream.identity)
+    state.missing.add(upstream.identity)
 
 
 def _mark_missing(
@@ -169,7 +169,7 @@
         _replace_process(state, identity, now)
         return 'restarted'
     state.agents[identity].missing_since = now
-    state.gone.add(identity)
+    state.missing.add(identity)
     return 'gone'
 
 
@@ -184,7 +184,7 @@
     has a flow is decided by the answers of the agents alone.
     """
     state.agents.pop(identity).mark_replaced(now)
-    state.gone.discard(identity)
+    state.missing.discard(identity)
 
 
 def _log_change(
@@ -221,39 +221,43 @@
     Of two upstreams on one host, one with an entry takes precedence over one
     without, and then the one whose entry was written later.
     """
-    by_host: dict[str, AgentView] = {}
+    agents_by_host: dict[str, AgentView] = {}
     for view in state.agents.values():
-        other = by_host.get(view.host)
+        other = agents_by_host.get(view.host)
         if other is None or _get_host_precedence(other) <= _get_host_precedence(
             view
         ):
-            by_host[view.host] = view
-    by_service: dict[str, list[AgentView]] = {}
-    for view in by_host.values():
-        by_service.setdefault(view.upstream.service, []).append(view)
-    _forget_answers(state, by_host)
-    state.by_host = by_host
-    state.holders.unspoken.clear()
-    state.greeting.near_agents = sum(map(state.is_near, by_host.values()))
-    state.by_service = {
-        service: tuple(views) for service, views in by_service.items()
+            agents_by_host[view.host] = view
+    agents_by_service: dict[str, list[AgentView]] = {}
+    for view in agents_by_host.values():
+        agents_by_service.setdefault(view.upstream.service, []).append(view)
+    _forget_answers(state, agents_by_host)
+    state.agents_by_host = agents_by_host
+    state.catalog_gaps.uncovered_agents.clear()
+    state.polling.zone_agent_count = sum(
+        map(state.is_same_zone, agents_by_host.values())
+    )
+    state.agents_by_service = {
+        service: tuple(views) for service, views in agents_by_service.items()
     }
 
 
 def _forget_answers(
     state: PacketState,
-    by_host: dict[str, AgentView],
+    agents_by_host: dict[str, AgentView],
 ) -> None:
     """Make searches ask the hosts again that have another upstream now."""
     changed = {
         host
-        for host, view in by_host.items()
-        if state.by_host.get(host) is not view
+        for host, view in agents_by_host.items()
+        if state.agents_by_host.get(host) is not view
     }
     for search in state.searches.values():
         search.missed -= changed
-        search.gave_back -= changed
-        search.asked = [host for host in search.asked if host not in changed]
+        search.declined_by -= changed
+        search.queried_hosts = [
+            host for host in search.queried_hosts if host not in changed
+        ]
 
 
 def _get_host_precedence(view: AgentView) -> tuple[bool, int]:
@@ -265,7 +269,7 @@
     expired = [
         key
         for key, former in state.former_routes.items()
-        if now - former.dropped_at > defaults.FORMER_ROUTE_SECONDS
+        if now - former.removed_at > defaults.FORMER_ROUTE_SECONDS
     ]
     for key in expired:
         state.former_routes.pop(key)
@@ -282,11 +286,11 @@
     """Forget upstreams whose entry has been missing for too long."""
     expired = [
         identity
-        for identity in state.gone
+        for identity in state.missing
         if _is_expired(state.agents[identity], now)
     ]
     for identity in expired:
         state.agents.pop(identity)
-        state.gone.discard(identity)
+        state.missing.discard(identity)
     if expired:
         _rebuild_indexes(state)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/notices.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/notices.py
@@ -28,7 +28,7 @@
     """
     upstream = view.upstream
     is_recent_start = now < view.startup_until
-    is_identified = is_recent_start or not state.is_behind
+    is_identified = is_recent_start or not state.is_catalog_stale
     directory = state.directories.get(upstream.service, NO_DIRECTORY)
     services = state.catalog.routes.services
     limits = services.get(upstream.service, _NO_LIMITS)
@@ -58,14 +58,14 @@
     change.  In a large fleet only the balancers of the same zone send them:
     at the size to design for, each agent gets 124 notices instead of 2,600.
     """
-    is_small = len(state.by_host) <= defaults.MAX_POLLED_AGENTS
+    is_small = len(state.agents_by_host) <= defaults.MAX_POLLED_AGENTS
     return tuple(
         view.send(
             EnvelopeKind.ASK,
             make_notice(state, view, now),
             REPORT_FORMAT,
         )
-        for view in state.by_host.values()
+        for view in state.agents_by_host.values()
         if view.upstream.availability_zone in zones
-        and (is_small or state.is_near(view))
+        and (is_small or state.is_same_zone(view))
     )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/openings.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/openings.py
@@ -27,18 +27,18 @@
 from keelgap_balancer.packets.latency_placement.notes import record_placement
 from keelgap_balancer.packets.parking import park
 from keelgap_balancer.packets.placement import choose_agent, choose_service
-from keelgap_balancer.packets.refusals import note_refusal
-from keelgap_balancer.packets.searches import Search
+from keelgap_balancer.packets.refusals import record_refusal
+from keelgap_balancer.packets.searches import FlowSearch
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.views import AgentView
 
-__all__ = ('Opening', 'open_flow', 'place_elsewhere')
+__all__ = ('OpeningPacket', 'open_flow', 'reoffer_flow')
 
 Effects = tuple[PacketEffect, ...]
 _MILLISECONDS: Final = 1000
 
 
-class Opening(NamedTuple):
+class OpeningPacket(NamedTuple):
     """The first packet of a flow, on its way to an agent."""
 
     key: bytes
@@ -49,7 +49,7 @@
     hop: int
     #: Milliseconds until the agent that declined last could start the request,
     #: if it declined for lack of time; else 0.
-    room_ms: int = 0
+    start_ms: int = 0
 
 
 def open_flow(
@@ -78,7 +78,7 @@
         }
         return SendReset(datagram), Decided('reset_unknown_route', fields)
     owner = state.owners.get(key)
-    opening = Opening(key, route, datagram, now, 0)
+    opening = OpeningPacket(key, route, datagram, now, 0)
     if owner is not None and _is_choice_valid(state, owner, now):
         return _offer(state, owner, opening)
     if owner is None:
@@ -90,7 +90,7 @@
     return _place(state, opening, silent)
 
 
-def _place_new(state: PacketState, opening: Opening) -> Effects:
+def _place_new(state: PacketState, opening: OpeningPacket) -> Effects:
     """Offer a flow not seen before, unless its caller exceeds its share."""
     if not state.features.admission:
         return _place(state, opening, ())
@@ -100,11 +100,11 @@
         return _reset_over_share(state, opening, excess)
     host = get_caller_host(opening.key)
     queue = get_queue(route, opening.key)
-    state.caller_waits.shares.note_offered(queue, host, opening.now)
+    state.caller_waits.shares.record_offered(queue, host, opening.now)
     return _place(state, opening, ())
 
 
-def _may_reset(state: PacketState, opening: Opening) -> bool:
+def _may_reset(state: PacketState, opening: OpeningPacket) -> bool:
     """Return whether a flow is known not to be open elsewhere.
 
     A copy of the first packet may arrive after another balancer offered the
@@ -116,7 +116,7 @@
 
 def _reset_over_share(
     state: PacketState,
-    opening: Opening,
+    opening: OpeningPacket,
     excess: Excess,
 ) -> Effects:
     """Reset a new flow in favour of callers that received a smaller share."""
@@ -132,7 +132,7 @@
     return (
         SendReset(opening.datagram),
         Decided('reset_over_share', fields),
-        *note_refusal(state, opening.route, opening.key, opening.now),
+        *record_refusal(state, opening.route, opening.key, opening.now),
     )
 
 
@@ -144,7 +144,7 @@
 
 def _place(
     state: PacketState,
-    opening: Opening,
+    opening: OpeningPacket,
     excluded: tuple[str, ...],
 ) -> Effects:
     key = opening.key
@@ -155,7 +155,7 @@
         agent = agent or _retry_ejected(state, opening)
         if agent is None:
             return _refuse(state, opening)
-        if agent in state.ejections.out:
+        if agent in state.ejections.ejected_since:
             # No better upstream is available.  FORCED_ACCEPT_HOP tells this to
             # the agent, which would decline the flow otherwise.
             hop = max(opening.hop, defaults.FORCED_ACCEPT_HOP)
@@ -166,32 +166,36 @@
     return (*_offer(state, agent, opening), *logged)
 
 
-def _choose_trial(state: PacketState, opening: Opening) -> AgentView | None:
+def _choose_trial(
+    state: PacketState, opening: OpeningPacket
+) -> AgentView | None:
     """Return an ejected upstream for which this flow serves as a trial."""
-    if opening.hop or not state.ejections.wanting:
+    if opening.hop or not state.ejections.awaiting_trial:
         return None
     service = choose_service(opening.route, opening.key)
     return choose_trial_upstream(state, opening.route, service, opening.now)
 
 
-def _retry_ejected(state: PacketState, opening: Opening) -> AgentView | None:
+def _retry_ejected(
+    state: PacketState, opening: OpeningPacket
+) -> AgentView | None:
     """Return an agent that declined a flow only because it is ejected."""
     search = state.searches.get(opening.key)
-    if search is None or not search.ejected:
+    if search is None or not search.declined_by_ejected:
         return None
     agent = choose_agent(
         state,
         opening.route,
         opening.key,
         opening.now,
-        search.gave_back - search.ejected,
+        search.declined_by - search.declined_by_ejected,
     )
     if agent is not None:
-        search.ejected.discard(agent.host)
+        search.declined_by_ejected.discard(agent.host)
     return agent
 
 
-def _refuse(state: PacketState, opening: Opening) -> Effects:
+def _refuse(state: PacketState, opening: OpeningPacket) -> Effects:
     """Reset a new flow that no agent accepts; its request has not run.
 
     While processes return after an outage, the packet is parked instead: the
@@ -202,7 +206,9 @@
     from the caller is offered again.
     """
     key = opening.key
-    may_appear = state.is_settling(opening.now) and not _is_all_evacuated(
+    may_appear = state.may_have_missed_attempts(
+        opening.now
+    ) and not _is_all_evacuated(
         state,
         opening,
     )
@@ -223,20 +229,20 @@
     return SendReset(opening.datagram), Decided('reset_no_taker', fields)
 
 
-def _is_all_evacuated(state: PacketState, opening: Opening) -> bool:
+def _is_all_evacuated(state: PacketState, opening: OpeningPacket) -> bool:
     """Return whether all upstreams of a service are out of service.
 
     Returns False for a service without upstreams.
     """
     service = choose_service(opening.route, opening.key)
-    views = state.by_service.get(service, ())
+    views = state.agents_by_service.get(service, ())
     return bool(views) and all(map(state.is_evacuated, views))
 
 
 def _offer(
     state: PacketState,
     agent: AgentView,
-    opening: Opening,
+    opening: OpeningPacket,
 ) -> Effects:
     now = opening.now
     agent.expect_answer(now)
@@ -247,7 +253,7 @@
     )
     remaining_seconds = route.target_seconds - waited.request_seconds
     wait = make_caller_wait(
-        route, waited, is_first_try=not state.is_settling(now)
+        route, waited, is_first_try=not state.may_have_missed_attempts(now)
     )
     offer = agent.send(
         choose_envelope_kind(state, agent, route),
@@ -260,37 +266,37 @@
     return (offer,)
 
 
-def place_elsewhere(
+def reoffer_flow(
     state: PacketState,
-    opening: Opening,
+    opening: OpeningPacket,
     view: AgentView,
 ) -> Effects:
     """Offer a flow to another agent after one declined it."""
-    search = state.searches.setdefault(opening.key, Search(opening.now))
-    search.gave_back.add(view.host)
+    search = state.searches.setdefault(opening.key, FlowSearch(opening.now))
+    search.declined_by.add(view.host)
     if (
         opening.hop <= defaults.FORCED_ACCEPT_HOP
-        and view in state.ejections.out
+        and view in state.ejections.ejected_since
     ):
-        search.ejected.add(view.host)
-    search.lacks_time += bool(opening.room_ms)
-    if state.features.admission and opening.room_ms:
+        search.declined_by_ejected.add(view.host)
+    search.time_refusals += bool(opening.start_ms)
+    if state.features.admission and opening.start_ms:
         return _place_or_refuse(state, opening, search)
-    return _place(state, opening, tuple(search.gave_back))
+    return _place(state, opening, tuple(search.declined_by))
 
 
 def _place_or_refuse(
     state: PacketState,
-    opening: Opening,
-    search: Search,
+    opening: OpeningPacket,
+    search: FlowSearch,
 ) -> Effects:
     """Offer a flow to another agent, or reset it if none may have capacity."""
     key = opening.key
     route = opening.route
     full = list_full_hosts(state, route, key, opening.now)
-    excluded = tuple(search.gave_back)
+    excluded = tuple(search.declined_by)
     if has_enough_refusals(search):
-        excluded = tuple(full | search.gave_back)
+        excluded = tuple(full | search.declined_by)
     agent = choose_agent(state, route, key, opening.now, excluded)
     if agent is not None and opening.hop < defaults.MAX_CAPACITY_OFFERS:
         return _place(state, opening, excluded)
@@ -300,18 +306,20 @@
         return (Decided('no_room_for_copy'),)
     host = get_caller_host(key)
     queue = get_queue(route, key)
-    state.caller_waits.shares.note_refused(queue, host, opening.now)
+    state.caller_waits.shares.record_refused(queue, host, opening.now)
     fields = {
         'flow': state.format.describe_key(key),
         'route': route.name,
         'priority': route.priority,
         'asked': opening.hop,
         'full': len(full),
-        'room_ms': opening.room_ms,
-        'milliseconds': round((opening.now - search.started) * _MILLISECONDS),
+        'room_ms': opening.start_ms,
+        'milliseconds': round(
+            (opening.now - search.started_at) * _MILLISECONDS
+        ),
     }
     return (
         SendReset(opening.datagram),
         Decided('reset_no_room', fields),
-        *note_refusal(state, route, key, opening.now),
+        *record_refusal(state, route, key, opening.now),
     )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/parking.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/parking.py
@@ -11,7 +11,7 @@
 from keelgap_balancer.packets.effects import Decided
 from keelgap_balancer.packets.state import PacketState
 
-__all__ = ('park', 'take_parked')
+__all__ = ('park', 'drain_parked')
 
 
 def park(
@@ -32,7 +32,7 @@
     return (Decided('parked'),)
 
 
-def take_parked(
+def drain_parked(
     state: PacketState,
     now: float,
 ) -> list[tuple[bytes, bytes]]:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placement.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placement.py
@@ -124,7 +124,7 @@
     if 0 < typical.answer_ms < report.answer_ms:
         # The same number of requests takes longer here, by this factor.
         cost *= report.answer_ms / typical.answer_ms
-    if not state.is_near(view):
+    if not state.is_same_zone(view):
         cost += defaults.REMOTE_ZONE_COST
     return _round_cost(cost), xxh3_64_intdigest(key, view.start_hash)
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/candidates.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/candidates.py
@@ -25,7 +25,7 @@
     excluded: Container[str],
 ) -> list[AgentView]:
     """Return the agents among which to choose one for a new flow."""
-    views = state.by_service.get(service, ())
+    views = state.agents_by_service.get(service, ())
     ejected = find_excluded(state, service, now)
     if state.features.placement and len(views) > defaults.SAMPLING_THRESHOLD:
 
@@ -105,7 +105,7 @@
     It leaves out availability zones that are out of service.  It is cached
     until these zones or the upstreams of the service change.
     """
-    views = state.by_service[service]
+    views = state.agents_by_service[service]
     evacuated = state.catalog.evacuated
     order = state.latency_placement.orders.get(service)
     if order is None or not order.is_current(views, evacuated):
@@ -114,10 +114,12 @@
         order = SamplingOrder(
             views,
             frozenset(evacuated),
-            tuple(filter(state.is_near, ordered)),
-            tuple(view for view in ordered if not state.is_near(view)),
+            tuple(filter(state.is_same_zone, ordered)),
+            tuple(view for view in ordered if not state.is_same_zone(view)),
+        )
+        state.latency_placement.cache_order(
+            service, order, state.agents_by_service
         )
-        state.latency_placement.cache_order(service, order, state.by_service)
     return order
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/delays.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/delays.py
@@ -102,7 +102,7 @@
     near: list[AgentView] = []
     others: list[AgentView] = []
     for view in views:
-        (near if state.is_near(view) else others).append(view)
+        (near if state.is_same_zone(view) else others).append(view)
     return near, others
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/notes.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/notes.py
@@ -23,7 +23,7 @@
         return ()
     placement_state = state.latency_placement
     placement_state.flow_durations.watch_flow(key, route.name, now)
-    if state.is_near(view):
+    if state.is_same_zone(view):
         placement_state.placed_near += 1
         return ()
     placement_state.placed_far += 1
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
@@ -16,7 +16,7 @@
     Decided,
     Observed,
     PacketEffect,
-    keep_one_catch_up,
+    keep_one_refresh,
 )
 from keelgap_balancer.packets.ejection import (
     forget_ejections,
@@ -27,17 +27,17 @@
     CatalogChanged,
     EnvelopeArrived,
     PacketEvent,
-    StampHeard,
-    StoreSeen,
+    PeerStampReceived,
+    StorePolled,
     TimerFired,
 )
 from keelgap_balancer.packets.forwards import forward
 from keelgap_balancer.packets.giving_up import expire_searches
-from keelgap_balancer.packets.greeting import greet_agents
+from keelgap_balancer.packets.greeting import poll_agents
 from keelgap_balancer.packets.inheriting import (
-    answer_asked,
-    ask_balancer,
-    take_served,
+    answer_peer_query,
+    handle_served_hosts,
+    query_peer,
 )
 from keelgap_balancer.packets.membership import (
     change_catalog,
@@ -46,28 +46,28 @@
 )
 from keelgap_balancer.packets.notices import make_notice
 from keelgap_balancer.packets.openings import (
-    Opening,
+    OpeningPacket,
     open_flow,
-    place_elsewhere,
+    reoffer_flow,
 )
-from keelgap_balancer.packets.parking import park, take_parked
-from keelgap_balancer.packets.refusals import take_refused, tell_refused
+from keelgap_balancer.packets.parking import drain_parked, park
+from keelgap_balancer.packets.refusals import broadcast_refused, handle_refused
 from keelgap_balancer.packets.search import (
     continue_search,
-    pass_over_silent,
-    take_covered,
-    take_found,
-    take_unknown_flow,
+    handle_covered,
+    handle_found,
+    search_for_owner,
+    skip_unresponsive,
 )
-from keelgap_balancer.packets.searches import Search
+from keelgap_balancer.packets.searches import FlowSearch
 from keelgap_balancer.packets.state import PacketState
-from keelgap_balancer.packets.unlisted import find_sender, forget_unlisted
+from keelgap_balancer.packets.unlisted import expire_unlisted, find_sender
 from keelgap_balancer.packets.verdicts import serves_route
 from keelgap_balancer.packets.views import AgentView
 from keelgap_balancer.packets.waiting import (
-    look_up_again,
-    resume_kept,
-    resume_parked,
+    resume_awaiting_catalog,
+    resume_awaiting_entries,
+    retry_lookups,
 )
 
 __all__ = ('reduce',)
@@ -82,7 +82,7 @@
 ) -> tuple[PacketState, Effects]:
     """Return the state after an event and the effects for the driver."""
     effects = _HANDLERS[type(event)](state, event)
-    return state, keep_one_catch_up(effects)
+    return state, keep_one_refresh(effects)
 
 
 def _handle_caller_packet(state: PacketState, event: CallerPacket) -> Effects:
@@ -114,7 +114,7 @@
     route = state.find_route(datagram)
     if route is None:
         return (Decided('drop_unknown_route'),)
-    return take_unknown_flow(state, route, key, datagram, now)
+    return search_for_owner(state, route, key, datagram, now)
 
 
 def _is_owner_lost(owner: AgentView, now: float) -> bool:
@@ -146,9 +146,9 @@
     view, logged = find_sender(state, event)
     if view is None:
         return logged
-    state.note_stamp(event.stamp)
+    state.record_stamp(event.stamp)
     effects = _dispatch_envelope(state, event, view)
-    return (*logged, *effects, *look_up_again(state, view.host, event.now))
+    return (*logged, *effects, *retry_lookups(state, view.host, event.now))
 
 
 def _dispatch_envelope(
@@ -171,7 +171,7 @@
     view: AgentView,
 ) -> Effects:
     report = unpack_report(event.envelope.content)
-    if state.by_host.get(view.host) is not view:
+    if state.agents_by_host.get(view.host) is not view:
         # The view is of an upstream that gets no new flows from here.
         return ()
     view.report = report
@@ -195,7 +195,7 @@
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
-    return take_found(state, event)
+    return handle_found(state, event)
 
 
 def _handle_covered(
@@ -203,7 +203,7 @@
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
-    return take_covered(state, event)
+    return handle_covered(state, event)
 
 
 def _handle_owned(
@@ -221,10 +221,10 @@
     fields = {
         'flow': state.format.describe_key(key),
         'owner': view.upstream.upstream_id,
-        'asked': search.questions,
-        'listed': state.by_host.get(view.host) is view,
+        'asked': search.query_count,
+        'listed': state.agents_by_host.get(view.host) is view,
     }
-    search_seconds = event.now - search.started
+    search_seconds = event.now - search.started_at
     service = view.upstream.service
     return (
         Decided('found_owner', fields),
@@ -257,25 +257,25 @@
         return () if is_opening else _forward_denied(state, owner, event)
     if is_opening:
         hop = event.envelope.hop + 1
-        room_ms = event.envelope.left_ms
-        opening = Opening(key, route, datagram, event.now, hop, room_ms)
-        return place_elsewhere(state, opening, view)
-    search = state.searches.setdefault(key, Search(event.now))
+        start_ms = event.envelope.left_ms
+        opening = OpeningPacket(key, route, datagram, event.now, hop, start_ms)
+        return reoffer_flow(state, opening, view)
+    search = state.searches.setdefault(key, FlowSearch(event.now))
     search.missed.add(view.host)
-    if not search.questions and serves_route(view, route):
+    if not search.query_count and serves_route(view, route):
         # The packet had been forwarded to the cached owner, which returned it;
         # that counts as the first query.
-        search.questions = 1
+        search.query_count = 1
     search.may_lack_entries |= event.stamp.may_lack_entries
-    if search.pending not in {None, view.host}:
+    if search.pending_host not in {None, view.host}:
         return ()
-    search.pending = None
+    search.pending_host = None
     return continue_search(state, route, key, datagram, event.now)
 
 
 def _handle_catalog(state: PacketState, event: CatalogChanged) -> Effects:
     effects = change_catalog(state, event.catalog, event.now)
-    parked = take_parked(state, event.now) if state.has_catalog else ()
+    parked = drain_parked(state, event.now) if state.has_catalog else ()
     parked_effects = tuple(
         effect
         for key, datagram in parked
@@ -283,23 +283,23 @@
     )
     return (
         *effects,
-        *greet_agents(state, event.now),
-        *resume_parked(state, event.now),
-        *resume_kept(state, event.now),
+        *poll_agents(state, event.now),
+        *resume_awaiting_catalog(state, event.now),
+        *resume_awaiting_entries(state, event.now),
         *parked_effects,
     )
 
 
-def _handle_store_polled(state: PacketState, event: StoreSeen) -> Effects:
+def _handle_store_polled(state: PacketState, event: StorePolled) -> Effects:
     state.confirmed_revision = max(state.confirmed_revision, event.revision)
     state.latest_change = max(state.latest_change, event.latest_change)
     state.reaches_store = event.reaches_store
-    return resume_parked(state, event.now)
+    return resume_awaiting_catalog(state, event.now)
 
 
-def _handle_peer_stamp(state: PacketState, event: StampHeard) -> Effects:
-    state.note_stamp(event.stamp)
-    return ask_balancer(state, event.sender, event.now)
+def _handle_peer_stamp(state: PacketState, event: PeerStampReceived) -> Effects:
+    state.record_stamp(event.stamp)
+    return query_peer(state, event.sender, event.now)
 
 
 def _handle_timer(state: PacketState, event: TimerFired) -> Effects:
@@ -309,17 +309,19 @@
     state.latency_placement.flow_durations.expire(now)
     expired = expire_searches(state, now)
     forget_gone(state, now)
-    forget_unlisted(state, now)
+    expire_unlisted(state, now)
     forget_ejections(state)
     forget_former_routes(state, now)
-    awaits_entries = state.is_newly_informed(now) or state.is_after_gap(now)
-    resumed = () if awaits_entries else resume_kept(state, now)
+    awaits_entries = state.is_newly_started(now) or state.is_after_catalog_gap(
+        now
+    )
+    resumed = () if awaits_entries else resume_awaiting_entries(state, now)
     return (
-        *tell_refused(state, now),
+        *broadcast_refused(state, now),
         *expired,
         *resumed,
-        *pass_over_silent(state, now),
-        *greet_agents(state, now),
+        *skip_unresponsive(state, now),
+        *poll_agents(state, now),
     )
 
 
@@ -327,9 +329,9 @@
 _BALANCER_HANDLERS: Final[
     Mapping[int, Callable[[PacketState, EnvelopeArrived], Effects]]
 ] = MappingProxyType({
-    int(EnvelopeKind.REFUSED): take_refused,
-    int(EnvelopeKind.SERVED_ASKED): answer_asked,
-    int(EnvelopeKind.SERVED_TOLD): take_served,
+    int(EnvelopeKind.REFUSED): handle_refused,
+    int(EnvelopeKind.SERVED_ASKED): answer_peer_query,
+    int(EnvelopeKind.SERVED_TOLD): handle_served_hosts,
 })
 
 #: Handlers of messages from agents.
@@ -352,8 +354,8 @@
         CallerPacket: _handle_caller_packet,
         EnvelopeArrived: _handle_envelope,
         CatalogChanged: _handle_catalog,
-        StampHeard: _handle_peer_stamp,
-        StoreSeen: _handle_store_polled,
+        PeerStampReceived: _handle_peer_stamp,
+        StorePolled: _handle_store_polled,
         TimerFired: _handle_timer,
     })
 )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/refusals.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/refusals.py
@@ -12,29 +12,29 @@
 from keelgap_balancer.packets.effects import (
     Decided,
     PacketEffect,
-    TellBalancers,
+    SendToBalancers,
 )
 from keelgap_balancer.packets.events import EnvelopeArrived
 from keelgap_balancer.packets.state import PacketState
 
-__all__ = ('note_refusal', 'take_refused', 'tell_refused')
+__all__ = ('record_refusal', 'handle_refused', 'broadcast_refused')
 
 Effects = tuple[PacketEffect, ...]
 
 
-def note_refusal(
+def record_refusal(
     state: PacketState,
     route: PacketRoute,
     key: bytes,
     now: float,
 ) -> Effects:
     """Expect a retry of a refused caller, here or at another balancer."""
-    state.caller_waits.note_refusal(key, now)
+    state.caller_waits.record_refusal(key, now)
     counter = Decided(f'refused_priority_{route.priority}')
-    return counter, *tell_refused(state, now)
+    return counter, *broadcast_refused(state, now)
 
 
-def tell_refused(state: PacketState, now: float) -> Effects:
+def broadcast_refused(state: PacketState, now: float) -> Effects:
     """Send refused callers to the other balancers, in batches.
 
     Callers beyond two batches are dropped.
@@ -50,10 +50,10 @@
     caller_waits.unannounced = caller_waits.unannounced[
         MAX_REFUSED_CALLERS : 2 * MAX_REFUSED_CALLERS
     ]
-    return (TellBalancers(EnvelopeKind.REFUSED, pack_refused(batch)),)
+    return (SendToBalancers(EnvelopeKind.REFUSED, pack_refused(batch)),)
 
 
-def take_refused(state: PacketState, event: EnvelopeArrived) -> Effects:
+def handle_refused(state: PacketState, event: EnvelopeArrived) -> Effects:
     """Expect retries of callers that another balancer refused."""
     try:
         callers = unpack_refused(event.envelope.content)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/search.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/search.py
@@ -11,41 +11,45 @@
 
 from keelgap.catalog.models import PacketRoute
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.asking import ask, ask_next, ask_unproved
+from keelgap_balancer.packets.asking import (
+    query_candidates,
+    query_host,
+    send_query,
+)
 from keelgap_balancer.packets.directories import (
-    look_up,
-    take_answer,
-    take_coverage,
-    tell_uncovered,
+    handle_coverage,
+    handle_lookup_answer,
+    notify_uncovered,
+    queue_lookup,
 )
 from keelgap_balancer.packets.effects import (
-    CatchUp,
     Decided,
     PacketEffect,
+    RefreshCatalog,
 )
 from keelgap_balancer.packets.events import EnvelopeArrived
-from keelgap_balancer.packets.searches import Search
+from keelgap_balancer.packets.searches import FlowSearch
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.verdicts import (
-    give_verdict,
-    list_members,
-    list_nodes,
-    list_strangers,
+    conclude_search,
+    list_directory_nodes,
+    list_route_agents,
+    list_unknown_hosts,
 )
 
 __all__ = (
     'continue_search',
-    'go_on',
-    'pass_over_silent',
-    'take_found',
-    'take_covered',
-    'take_unknown_flow',
+    'resume_search',
+    'skip_unresponsive',
+    'handle_found',
+    'handle_covered',
+    'search_for_owner',
 )
 
 Effects = tuple[PacketEffect, ...]
 
 
-def take_unknown_flow(
+def search_for_owner(
     state: PacketState,
     route: PacketRoute,
     key: bytes,
@@ -60,19 +64,19 @@
     if search is None:
         if len(state.searches) >= defaults.MAX_SEARCHES:
             return (Decided('search_table_full'),)
-        search = Search(now)
+        search = FlowSearch(now)
         state.searches[key] = search
-    search.take_packet(datagram, now)
-    if search.is_parked:
-        return (CatchUp(),)
-    if search.is_waiting:
+    search.record_packet(datagram, now)
+    if search.awaits_catalog:
+        return (RefreshCatalog(),)
+    if search.is_suspended:
         return ()
-    is_in_time = now - search.pending_since < search.patience
-    if search.pending is not None and is_in_time:
-        return ask(state, search, search.pending, datagram)
-    if search.lookups and is_in_time:
+    is_in_time = now - search.pending_since < search.answer_timeout
+    if search.pending_host is not None and is_in_time:
+        return send_query(state, search, search.pending_host, datagram)
+    if search.pending_lookups and is_in_time:
         return ()
-    search.stop_waiting()
+    search.drop_pending()
     return continue_search(state, route, key, datagram, now)
 
 
@@ -85,18 +89,18 @@
 ) -> Effects:
     """Query the next agent, or conclude the search if none is left."""
     search = state.searches[key]
-    search.keep_packet(datagram, now)
-    for host in search.named:
-        if host not in search.missed and host not in search.asked:
-            return ask_next(state, search, host, now)
-    nodes = list_nodes(state, route, key)
-    lookup = _query_next_node(state, search, nodes, key, now)
-    if lookup or search.lookups:
+    search.replace_packet(datagram, now)
+    for host in search.named_owners:
+        if host not in search.missed and host not in search.queried_hosts:
+            return query_host(state, search, host, now)
+    directory_nodes = list_directory_nodes(state, route, key)
+    lookup = _query_next_node(state, search, directory_nodes, key, now)
+    if lookup or search.pending_lookups:
         return lookup
-    queries = ask_unproved(state, search, route, nodes, key, now)
+    queries = query_candidates(state, search, route, directory_nodes, key, now)
     if queries is not None:
         return queries
-    return give_verdict(state, route, search, key, now)
+    return conclude_search(state, route, search, key, now)
 
 
 def _rank_hosts(
@@ -105,17 +109,24 @@
     now: float,
 ) -> list[str]:
     """Sort hosts: responsive agents first, then those of the same zone."""
-    views = [state.by_host[host] for host in hosts if host in state.by_host]
+    views = [
+        state.agents_by_host[host]
+        for host in hosts
+        if host in state.agents_by_host
+    ]
     views.sort(
-        key=lambda view: (view.is_unresponsive(now), not state.is_near(view))
+        key=lambda view: (
+            view.is_unresponsive(now),
+            not state.is_same_zone(view),
+        )
     )
     return [view.host for view in views]
 
 
 def _query_next_node(
     state: PacketState,
-    search: Search,
-    nodes: tuple[str, ...],
+    search: FlowSearch,
+    directory_nodes: tuple[str, ...],
     key: bytes,
     now: float,
 ) -> Effects:
@@ -123,45 +134,45 @@
 
     Nodes are queried one after the other: the first one knows most owners.
     """
-    for node in _rank_hosts(state, nodes, now):
-        if node not in search.tried:
-            search.tried.add(node)
-            search.lookups.add(node)
+    for node in _rank_hosts(state, directory_nodes, now):
+        if node not in search.queried_nodes:
+            search.queried_nodes.add(node)
+            search.pending_lookups.add(node)
             search.pending_since = now
-            search.questions += 1
-            return look_up(state, node, key, now)
+            search.query_count += 1
+            return queue_lookup(state, node, key, now)
     return ()
 
 
-def take_found(state: PacketState, event: EnvelopeArrived) -> Effects:
+def handle_found(state: PacketState, event: EnvelopeArrived) -> Effects:
     """Resume the searches that a directory node answered.
 
     Raises MalformedEnvelope.
     """
-    lookup, sent = take_answer(state, event)
+    lookup, sent = handle_lookup_answer(state, event)
     effects: list[PacketEffect] = list(sent)
     for key, hosts in lookup.rows:
         search = state.searches.get(key)
         if search is None:
             continue
-        search.lookups.discard(event.sender)
+        search.pending_lookups.discard(event.sender)
         search.may_lack_entries |= event.stamp.may_lack_entries
-        unknown_hosts = list_strangers(state, search, hosts)
+        unknown_hosts = list_unknown_hosts(state, search, hosts)
         if unknown_hosts:
             effects.extend(
                 _await_owner_entry(state, search, key, unknown_hosts)
             )
             continue
-        search.named.extend(hosts)
-        search.denied[event.sender] = lookup.digest
-        if search.pending is None:
-            effects.extend(go_on(state, search, key, event.now))
+        search.named_owners.extend(hosts)
+        search.denying_nodes[event.sender] = lookup.digest
+        if search.pending_host is None:
+            effects.extend(resume_search(state, search, key, event.now))
     return tuple(effects)
 
 
 def _await_owner_entry(
     state: PacketState,
-    search: Search,
+    search: FlowSearch,
     key: bytes,
     hosts: list[str],
 ) -> Effects:
@@ -176,54 +187,58 @@
         'revision': state.confirmed_revision,
     }
     decided = Decided('owner_not_in_catalog', fields)
-    if not state.is_behind:
+    if not state.is_catalog_stale:
         state.searches.pop(key, None)
         return (decided,)
-    search.is_parked = True
-    return CatchUp(), decided
+    search.awaits_catalog = True
+    return RefreshCatalog(), decided
 
 
-def take_covered(state: PacketState, event: EnvelopeArrived) -> Effects:
+def handle_covered(state: PacketState, event: EnvelopeArrived) -> Effects:
     """Resume searches that depend on which agents a directory node covers.
 
     If the coverage has changed since the node denied a flow, the node is
     queried again.
     """
-    if not take_coverage(state, event):
+    if not handle_coverage(state, event):
         return ()
     host = event.sender
-    digest = state.nodes[host].digest
-    effects = list(tell_uncovered(state, host, event.now))
+    digest = state.directory_nodes[host].digest
+    effects = list(notify_uncovered(state, host, event.now))
     for key, search in tuple(state.searches.items()):
-        if host not in search.denied or not _is_idle(search):
+        if host not in search.denying_nodes or not _is_idle(search):
             continue
-        if search.denied[host] != digest:
-            search.begin_anew()
-        effects.extend(go_on(state, search, key, event.now))
+        if search.denying_nodes[host] != digest:
+            search.restart_lookups()
+        effects.extend(resume_search(state, search, key, event.now))
     return tuple(effects)
 
 
-def _is_idle(search: Search) -> bool:
+def _is_idle(search: FlowSearch) -> bool:
     """Return whether a search of an open flow awaits no answer."""
-    is_pending = search.pending is not None or bool(search.lookups)
-    return bool(search.latest) and not is_pending and not search.is_waiting
+    is_pending = search.pending_host is not None or bool(search.pending_lookups)
+    return (
+        bool(search.latest_packet)
+        and not is_pending
+        and not search.is_suspended
+    )
 
 
-def go_on(
+def resume_search(
     state: PacketState,
-    search: Search,
+    search: FlowSearch,
     key: bytes,
     now: float,
 ) -> Effects:
     """Continue a search with the latest packet of its flow."""
-    route = state.find_route(search.latest)
+    route = state.find_route(search.latest_packet)
     if route is None:
         state.searches.pop(key, None)
         return (Decided('drop_unknown_route'),)
-    return continue_search(state, route, key, search.latest, now)
+    return continue_search(state, route, key, search.latest_packet, now)
 
 
-def pass_over_silent(state: PacketState, now: float) -> Effects:
+def skip_unresponsive(state: PacketState, now: float) -> Effects:
     """Continue searches whose pending answer is overdue.
 
     Callers repeat their packets too seldom for that to drive a search.  If
@@ -234,25 +249,27 @@
         if not _is_overdue(state, search, now):
             continue
         if _is_idle(search):
-            search.begin_anew()
-        search.stop_waiting()
-        effects.extend(go_on(state, search, key, now))
+            search.restart_lookups()
+        search.drop_pending()
+        effects.extend(resume_search(state, search, key, now))
     return tuple(effects)
 
 
-def _is_overdue(state: PacketState, search: Search, now: float) -> bool:
+def _is_overdue(state: PacketState, search: FlowSearch, now: float) -> bool:
     """Return whether to stop waiting for the pending answers."""
-    if not search.latest or search.is_waiting:
+    if not search.latest_packet or search.is_suspended:
         return False
-    if now - search.pending_since < search.patience:
+    if now - search.pending_since < search.answer_timeout:
         return False
-    return search.pending is None or _has_unqueried_agents(state, search)
+    return search.pending_host is None or _has_unqueried_agents(state, search)
 
 
-def _has_unqueried_agents(state: PacketState, search: Search) -> bool:
+def _has_unqueried_agents(state: PacketState, search: FlowSearch) -> bool:
     """Return whether an agent of the route has not been queried yet."""
-    route = state.find_route(search.latest)
+    route = state.find_route(search.latest_packet)
     if route is None:
         return True
-    queried = set(search.asked)
-    return any(view.host not in queried for view in list_members(state, route))
+    queried = set(search.queried_hosts)
+    return any(
+        view.host not in queried for view in list_route_agents(state, route)
+    )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/searches.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/searches.py
@@ -2,135 +2,135 @@
 
 from keelgap_balancer.packets import defaults
 
-__all__ = ('Search',)
+__all__ = ('FlowSearch',)
 
 
-class Search:
+class FlowSearch:
     """Search for the owner of an open flow or for an agent for a new one."""
 
     __slots__ = (
-        'asked',
-        'denied',
-        'ejected',
-        'gave_back',
-        'heard',
-        'is_parked',
-        'kept_since',
-        'lacks_time',
-        'latest',
-        'lookups',
+        'queried_hosts',
+        'denying_nodes',
+        'declined_by_ejected',
+        'declined_by',
+        'last_packet_at',
+        'awaits_catalog',
+        'awaiting_entries_since',
+        'time_refusals',
+        'latest_packet',
+        'pending_lookups',
         'may_lack_entries',
         'missed',
-        'named',
-        'needed_revision',
-        'pending',
+        'named_owners',
+        'required_revision',
+        'pending_host',
         'pending_since',
-        'questions',
-        'renewed',
-        'started',
-        'told',
-        'tried',
+        'query_count',
+        'active_since',
+        'started_at',
+        'logged_waits',
+        'queried_nodes',
     )
 
     def __init__(self, now: float) -> None:
         """Create a search that has queried no host yet."""
-        self.started = now
+        self.started_at = now
         #: When the search started or was last resumed; the time limit of a
         #: search counts from here.
-        self.renewed = now
+        self.active_since = now
         #: When the caller sent the latest packet of the flow.
-        self.heard = now
+        self.last_packet_at = now
         #: Latest packet of the open flow, which the next query carries.  Empty
         #: while a new flow is being offered to agents.
-        self.latest = b''
+        self.latest_packet = b''
         #: Whether the search is suspended until a later catalog is read,
         #: because an owner may be missing from the catalog in force.
-        self.is_parked = False
+        self.awaits_catalog = False
         #: Revision that the catalog must reach before the search is resumed:
         #: the latest one known when the flow had been denied everywhere.
-        self.needed_revision = 0
+        self.required_revision = 0
         #: Since when the search is suspended until lapsed catalog entries may
         #: have been renewed.
-        self.kept_since: float | None = None
+        self.awaiting_entries_since: float | None = None
         #: Names of the events already logged when the search was suspended.
-        self.told: set[str] = set()
+        self.logged_waits: set[str] = set()
         #: Whether an agent reported that the store may lack the entries of
         #: live upstreams.
         self.may_lack_entries = False
         #: Hosts that were sent a SEARCH envelope, in order.
-        self.asked: list[str] = []
+        self.queried_hosts: list[str] = []
         #: Hosts that denied the open flow with a MISS envelope.
         self.missed: set[str] = set()
         #: Hosts that declined the opening packet.  They may have accepted a
         #: copy of it since, and hold the flow.
-        self.gave_back: set[str] = set()
+        self.declined_by: set[str] = set()
         #: How often a host declined a new flow because it could not answer in
         #: time.
-        self.lacks_time = 0
+        self.time_refusals = 0
         #: Hosts in ``declined_by`` whose upstream is ejected; they may accept
         #: the flow if no other host does.
-        self.ejected: set[str] = set()
+        self.declined_by_ejected: set[str] = set()
         #: Host queried last, if it has not answered.
-        self.pending: str | None = None
+        self.pending_host: str | None = None
         self.pending_since = now
         #: Directory nodes that were queried and have not answered.
-        self.lookups: set[str] = set()
+        self.pending_lookups: set[str] = set()
         #: Directory nodes that were queried.
-        self.tried: set[str] = set()
+        self.queried_nodes: set[str] = set()
         #: Hosts that directory nodes named as owners.
-        self.named: list[str] = []
+        self.named_owners: list[str] = []
         #: Directory nodes that answered without naming an unknown host, with
         #: the digest of the hosts that they cover.
-        self.denied: dict[str, int] = {}
+        self.denying_nodes: dict[str, int] = {}
         #: Number of lookups and SEARCH envelopes sent for this flow.
-        self.questions = 0
+        self.query_count = 0
 
     @property
-    def patience(self) -> float:
+    def answer_timeout(self) -> float:
         """Return how many seconds to wait for the pending answers."""
-        if self.lookups:
+        if self.pending_lookups:
             return defaults.LOOKUP_TIMEOUT_SECONDS
-        if self.pending is None:
+        if self.pending_host is None:
             return defaults.LOOKUP_RETRY_SECONDS
         return defaults.SEARCH_STEP_TIMEOUT_SECONDS
 
-    def stop_waiting(self) -> None:
+    def drop_pending(self) -> None:
         """Stop waiting for the pending answers."""
-        self.pending = None
-        self.lookups.clear()
+        self.pending_host = None
+        self.pending_lookups.clear()
 
-    def begin_anew(self) -> None:
+    def restart_lookups(self) -> None:
         """Let the directory be queried again: it may know more by now."""
-        self.tried.clear()
-        self.denied.clear()
+        self.queried_nodes.clear()
+        self.denying_nodes.clear()
 
-    def take_packet(self, datagram: bytes, now: float) -> None:
+    def record_packet(self, datagram: bytes, now: float) -> None:
         """Record a packet from the caller."""
-        self.keep_packet(datagram, now)
-        self.heard = now
+        self.replace_packet(datagram, now)
+        self.last_packet_at = now
 
-    def keep_packet(self, datagram: bytes, now: float) -> None:
+    def replace_packet(self, datagram: bytes, now: float) -> None:
         """Use this packet for the following queries.
 
         The search for an owner starts with the first packet of the open flow,
         not when the new flow was offered to agents.
         """
-        if not self.latest:
-            self.started = now
-            self.renewed = now
-        self.latest = datagram
+        if not self.latest_packet:
+            self.started_at = now
+            self.active_since = now
+        self.latest_packet = datagram
 
     @property
-    def is_waiting(self) -> bool:
+    def is_suspended(self) -> bool:
         """Return whether no query is sent until the catalog is up to date."""
-        return self.is_parked or self.kept_since is not None
+        return self.awaits_catalog or self.awaiting_entries_since is not None
 
-    def lacks_answer(self, node: str) -> bool:
+    def has_unanswered_lookup(self, node: str) -> bool:
         """Return whether a directory node was queried and did not answer."""
-        return node in self.tried and node not in self.denied
+        return node in self.queried_nodes and node not in self.denying_nodes
 
-    def end_wait(self, now: float) -> None:
+    def resume(self, now: float) -> None:
         """Resume a suspended search with the time limit of a new one."""
-        self.is_parked = False
-        self.kept_since = None
-        self.renewed = now
+        self.awaits_catalog = False
+        self.awaiting_entries_since = None
+        self.active_since = now
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
@@ -29,21 +29,21 @@
 from keelgap_balancer.packets.balancer_infos import BalancerInfoTable
 from keelgap_balancer.packets.conf import BalancerPacketSettings
 from keelgap_balancer.packets.effects import (
-    CatchUp,
     Decided,
     Observed,
     PacketEffect,
+    RefreshCatalog,
     SendReset,
     SendToAgent,
-    TellBalancers,
+    SendToBalancers,
 )
 from keelgap_balancer.packets.events import (
     CallerPacket,
     CatalogChanged,
     EnvelopeArrived,
     PacketEvent,
-    StampHeard,
-    StoreSeen,
+    PeerStampReceived,
+    StorePolled,
     TimerFired,
 )
 from keelgap_balancer.packets.gossip_driver import GossipDriver
@@ -129,9 +129,9 @@
         )
         self.handlers = MappingProxyType[type, Callable[[Any], None]]({
             SendToAgent: self._send_to_agent,
-            TellBalancers: self.gossip.broadcast,
+            SendToBalancers: self.gossip.broadcast,
             SendReset: self._send_reset,
-            CatchUp: self._catch_up,
+            RefreshCatalog: self._catch_up,
             Decided: self.decisions.take,
             Observed: self._observe,
         })
@@ -218,7 +218,7 @@
         now = self.loop.clock()
         self.last_message_at = now
         if envelope.kind == EnvelopeKind.GOSSIP:
-            self._dispatch(StampHeard(now, stamp, sender[0]))
+            self._dispatch(PeerStampReceived(now, stamp, sender[0]))
             self.gossip.handle_message(envelope, sender[0])
             return
         self._dispatch(EnvelopeArrived(now, sender[0], envelope, stamp))
@@ -240,7 +240,7 @@
         state = self.state
         now = self.loop.clock()
         follower = self.catalog.state
-        views = tuple(state.by_host.values())
+        views = tuple(state.agents_by_host.values())
         return {
             'catalog_revision': follower.revision,
             'routes_version': state.catalog.routes.version,
@@ -252,10 +252,10 @@
             'upstreams': len(views),
             'zones_out_of_service': len(state.catalog.evacuated),
             'upstreams_out_of_service': sum(map(state.is_evacuated, views)),
-            'ejected_upstreams': len(state.ejections.out),
-            'upstreams_wanting_trial': len(state.ejections.wanting),
+            'ejected_upstreams': len(state.ejections.ejected_since),
+            'upstreams_wanting_trial': len(state.ejections.awaiting_trial),
             'silent_agents': sum(view.is_unresponsive(now) for view in views),
-            'unlisted_agents': len(state.holders.unlisted),
+            'unlisted_agents': len(state.catalog_gaps.unlisted),
             'known_flows': len(state.owners),
             'searches': len(state.searches),
             'parked_flows': len(state.parked),
@@ -292,7 +292,7 @@
             # read the store.
             self.gossip.send_gossip()
         self._dispatch(
-            StoreSeen(
+            StorePolled(
                 self.loop.clock(),
                 follower.revision,
                 follower.latest_change,
@@ -300,7 +300,7 @@
             ),
         )
 
-    def _catch_up(self, effect: CatchUp) -> None:
+    def _catch_up(self, effect: RefreshCatalog) -> None:
         self.catalog.catch_up()
 
     def _count_store_call(self, call: str, outcome: str) -> None:
@@ -328,7 +328,7 @@
         availability zone serves their callers better.
         """
         is_unresponsive = now - self.last_message_at > defaults.ISOLATED_SECONDS
-        is_isolated = is_unresponsive and bool(self.state.by_host)
+        is_isolated = is_unresponsive and bool(self.state.agents_by_host)
         if is_isolated == self.is_isolated:
             return
         self.is_isolated = is_isolated
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/shares.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/shares.py
@@ -33,17 +33,17 @@
 class _FairLevel:
     """Number of recent flows that each caller may have."""
 
-    __slots__ = ('flows', 'pressed_at', 'raised_at')
+    __slots__ = ('flows', 'last_pressure_at', 'raised_at')
 
     def __init__(self) -> None:
         """Create a level without pressure."""
         self.flows: float = 0
-        self.pressed_at = float('-inf')
+        self.last_pressure_at = float('-inf')
         self.raised_at = float('-inf')
 
     def is_under_pressure(self, now: float) -> bool:
         """Return whether flows were refused within PRESSURE_SECONDS."""
-        return now - self.pressed_at < defaults.PRESSURE_SECONDS
+        return now - self.last_pressure_at < defaults.PRESSURE_SECONDS
 
 
 class CallerShares:
@@ -56,7 +56,7 @@
         #: By queue.
         self.levels: dict[Queue, _FairLevel] = {}
 
-    def note_offered(self, queue: Queue, host: bytes, now: float) -> None:
+    def record_offered(self, queue: Queue, host: bytes, now: float) -> None:
         """Count a flow that is offered to agents."""
         key = (queue, host)
         count = self.counts.pop(key, None)
@@ -70,7 +70,7 @@
         count.add(now)
         self.counts[key] = count
 
-    def note_refused(self, queue: Queue, host: bytes, now: float) -> None:
+    def record_refused(self, queue: Queue, host: bytes, now: float) -> None:
         """Uncount a refused flow, and lower the level if it is too high.
 
         The level is too high if a caller below it was refused.
@@ -82,10 +82,10 @@
         if not level.is_under_pressure(now):
             level.flows = defaults.LEVEL_START * self._get_mean(queue, now)
         if self.read(queue, host, now) < level.flows:
-            level.pressed_at = now
+            level.last_pressure_at = now
             level.flows = max(level.flows * defaults.LEVEL_FALL, _MIN_FLOWS)
 
-    def note_idle(self, queue: Queue, now: float) -> None:
+    def raise_level(self, queue: Queue, now: float) -> None:
         """Raise a level that leaves upstream capacity unused.
 
         The level is raised at intervals and not with each flow, as callers with
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
@@ -16,17 +16,17 @@
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.caller_waits import CallerWaits
 from keelgap_balancer.packets.latency_placement.memory import PlacementState
-from keelgap_balancer.packets.searches import Search
+from keelgap_balancer.packets.searches import FlowSearch
 from keelgap_balancer.packets.views import AgentView, DirectoryNodeView
 
 __all__ = (
     'Ejections',
     'FormerRoute',
-    'GreetingRound',
-    'Holders',
+    'PollingRound',
+    'CatalogGaps',
     'PacketState',
-    'LeftOutDecision',
-    'make_owners',
+    'ExclusionDecision',
+    'make_owner_cache',
 )
 
 _MICROSECONDS: Final = 1000000
@@ -37,10 +37,10 @@
     """A route that the operators removed; its open flows continue."""
 
     route: PacketRoute
-    dropped_at: float
+    removed_at: float
 
 
-def make_owners(now: float) -> GenerationalCache[AgentView]:
+def make_owner_cache(now: float) -> GenerationalCache[AgentView]:
     """Return a cache of flow owners, whose entries may be out of date."""
     return GenerationalCache(
         defaults.FLOW_GENERATION_SECONDS,
@@ -49,28 +49,28 @@
     )
 
 
-class GreetingRound:
+class PollingRound:
     """Order in which to poll agents that are too many to poll at once."""
 
-    __slots__ = ('left', 'near_agents', 'seed')
+    __slots__ = ('remaining', 'zone_agent_count', 'seed')
 
     def __init__(self, now: float) -> None:
         """Start before the first round."""
-        self.left: Iterator[AgentView] = iter(())
+        self.remaining: Iterator[AgentView] = iter(())
         #: Number of agents in the balancer's own availability zone.
-        self.near_agents = 0
+        self.zone_agent_count = 0
         #: Seed of the polling order.  It differs between balancers, as no two
         #: of them start at the same moment.
         self.seed = int(now * _MICROSECONDS) % _SEED_RANGE
 
 
-class LeftOutDecision(NamedTuple):
+class ExclusionDecision(NamedTuple):
     """Cached decision on excluding the ejected upstreams of a large service."""
 
     views: tuple[AgentView, ...]
     at: float
     #: Whether the other upstreams have a sufficient share of the slots.
-    do_others_suffice: bool
+    is_capacity_sufficient: bool
 
     def is_valid(self, views: tuple[AgentView, ...], now: float) -> bool:
         """Return whether the decision still applies to these upstreams."""
@@ -81,29 +81,29 @@
 class Ejections:
     """Upstreams that fail requests, as reported by their agents."""
 
-    __slots__ = ('decisions', 'out', 'wanting')
+    __slots__ = ('exclusions', 'ejected_since', 'awaiting_trial')
 
     def __init__(self) -> None:
         """Create a record without ejected upstreams."""
         #: Ejected upstreams, and since when the ejection is known.
-        self.out: dict[AgentView, float] = {}
+        self.ejected_since: dict[AgentView, float] = {}
         #: Ejected upstreams that ask for a trial request, and since when.
-        self.wanting: dict[AgentView, float] = {}
+        self.awaiting_trial: dict[AgentView, float] = {}
         #: Cached decisions by service, for large services with ejected
         #: upstreams.
-        self.decisions: dict[str, LeftOutDecision] = {}
+        self.exclusions: dict[str, ExclusionDecision] = {}
 
 
-class Holders:
+class CatalogGaps:
     """What the catalog in force may lack about the owners of flows."""
 
     __slots__ = (
-        'asked',
+        'queried_peers',
         'first_revision',
         'gap_at',
-        'told',
+        'answered_peers',
         'unlisted',
-        'unspoken',
+        'uncovered_agents',
     )
 
     def __init__(self) -> None:
@@ -114,13 +114,13 @@
         #: Cache of the agents that directory nodes do not cover, by the shares
         #: of the route, the digests of the nodes and the required number of
         #: denials.
-        self.unspoken: dict[tuple[Any, ...], tuple[AgentView, ...]] = {}
+        self.uncovered_agents: dict[tuple[Any, ...], tuple[AgentView, ...]] = {}
         #: Revision of the first catalog; earlier changes are not known here.
         self.first_revision = 0
         #: When each other balancer was last queried for the hosts it lists.
-        self.asked: dict[str, float] = {}
+        self.queried_peers: dict[str, float] = {}
         #: Balancers whose query was answered, with their first revision.
-        self.told: dict[str, int] = {}
+        self.answered_peers: dict[str, int] = {}
         #: When a catalog came into force that may not report all entries which
         #: were written and lapsed since the catalog before it.
         self.gap_at = float('-inf')
@@ -147,21 +147,21 @@
         #: Agents stay here for a while after their entry is missing.
         self.agents: dict[UpstreamIdentity, AgentView] = {}
         #: The agent of the latest upstream on each host.
-        self.by_host: dict[str, AgentView] = {}
-        self.by_service: dict[str, tuple[AgentView, ...]] = {}
+        self.agents_by_host: dict[str, AgentView] = {}
+        self.agents_by_service: dict[str, tuple[AgentView, ...]] = {}
         #: Upstreams in ``agents`` whose entry is missing.
-        self.gone: set[UpstreamIdentity] = set()
-        self.greeting = GreetingRound(now)
-        self.owners = make_owners(now)
+        self.missing: set[UpstreamIdentity] = set()
+        self.polling = PollingRound(now)
+        self.owners = make_owner_cache(now)
         self.caller_waits = CallerWaits(now)
         self.latency_placement: PlacementState[AgentView] = PlacementState()
-        self.searches: dict[bytes, Search] = {}
+        self.searches: dict[bytes, FlowSearch] = {}
         self.ejections = Ejections()
         #: Flow directories by service, for large services only.
         self.directories: dict[str, FlowDirectory] = {}
         #: Directory nodes by host.
-        self.nodes: dict[str, DirectoryNodeView] = {}
-        self.holders = Holders()
+        self.directory_nodes: dict[str, DirectoryNodeView] = {}
+        self.catalog_gaps = CatalogGaps()
         #: Latest packet of each flow that cannot be served yet, by flow key.
         self.parked: dict[bytes, bytes] = {}
         #: Revision up to which the catalog in force is complete.
@@ -171,7 +171,7 @@
         #: Whether the latest call to the store was answered.
         self.reaches_store = True
         #: When the first catalog came into force.
-        self.informed_at: float | None = None
+        self.first_catalog_at: float | None = None
 
     @property
     def has_catalog(self) -> bool:
@@ -179,11 +179,11 @@
         return self.catalog.routes.version > 0
 
     @property
-    def is_behind(self) -> bool:
+    def is_catalog_stale(self) -> bool:
         """Return whether the store has changes that were not read here yet."""
         return self.latest_change > self.confirmed_revision
 
-    def is_near(self, view: AgentView) -> bool:
+    def is_same_zone(self, view: AgentView) -> bool:
         """Return whether an agent is in this balancer's availability zone."""
         return view.upstream.availability_zone == self.availability_zone
 
@@ -191,33 +191,34 @@
         """Return whether the agent's availability zone takes no new flows."""
         return view.upstream.availability_zone in self.catalog.evacuated
 
-    def is_newly_informed(self, now: float) -> bool:
+    def is_newly_started(self, now: float) -> bool:
         """Return whether there may be live upstreams never seen here.
 
         Entries that lapsed while the store was unavailable are renewed within
         MISSING_ENTRY_SECONDS.
         """
-        informed_at = self.informed_at
-        if informed_at is None:
+        first_catalog_at = self.first_catalog_at
+        if first_catalog_at is None:
             return True
-        return now - informed_at < defaults.MISSING_ENTRY_SECONDS
+        return now - first_catalog_at < defaults.MISSING_ENTRY_SECONDS
 
-    def is_after_gap(self, now: float) -> bool:
+    def is_after_catalog_gap(self, now: float) -> bool:
         """Return whether entries may have lapsed unread and be renewed soon."""
-        return now - self.holders.gap_at < defaults.MISSING_ENTRY_SECONDS
+        return now - self.catalog_gaps.gap_at < defaults.MISSING_ENTRY_SECONDS
 
-    def is_settling(self, now: float) -> bool:
+    def may_have_missed_attempts(self, now: float) -> bool:
         """Return whether callers may have tried before this could serve."""
-        informed_at = self.informed_at
+        first_catalog_at = self.first_catalog_at
         return (
-            informed_at is None or now - informed_at < defaults.SETTLING_SECONDS
+            first_catalog_at is None
+            or now - first_catalog_at < defaults.SETTLING_SECONDS
         )
 
     def make_stamp(self) -> Stamp:
         """Return the stamp on the store that each sent envelope carries."""
         return Stamp(self.latest_change, not self.reaches_store)
 
-    def note_stamp(self, stamp: Stamp) -> None:
+    def record_stamp(self, stamp: Stamp) -> None:
         """Record the latest store change that another process knows of."""
         self.latest_change = max(self.latest_change, stamp.latest_change)
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/unlisted.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/unlisted.py
@@ -21,10 +21,10 @@
 __all__ = (
     'find_agent',
     'find_sender',
-    'forget_unlisted',
+    'expire_unlisted',
     'list_unlisted',
-    'note_displaced',
-    'note_service',
+    'record_displaced',
+    'record_service',
 )
 
 Effects = tuple[PacketEffect, ...]
@@ -32,12 +32,12 @@
 
 def list_unlisted(state: PacketState, route: PacketRoute) -> list[AgentView]:
     """Return the unlisted agents of all services of a route."""
-    if not state.holders.unlisted:
+    if not state.catalog_gaps.unlisted:
         return []
     services = {share.service for share in route.shares}
     return [
         view
-        for view in state.holders.unlisted.values()
+        for view in state.catalog_gaps.unlisted.values()
         if view.upstream.service in services
     ]
 
@@ -49,16 +49,16 @@
 ) -> AgentView | None:
     """Return the agent on a host that may hold flows of a route."""
     services = {share.service for share in route.shares}
-    listed = state.by_host.get(host)
+    listed = state.agents_by_host.get(host)
     if listed is not None and listed.upstream.service in services:
         return listed
     unlisted = (
-        state.holders.unlisted.get((host, service)) for service in services
+        state.catalog_gaps.unlisted.get((host, service)) for service in services
     )
     return next(filter(None, unlisted), None)
 
 
-def note_displaced(
+def record_displaced(
     state: PacketState,
     before: Mapping[str, AgentView],
     now: float,
@@ -68,18 +68,18 @@
     ``before`` maps hosts to agents as they were before the change.
     """
     for view in (*before.values(), *state.agents.values()):
-        listed = state.by_host.get(view.host)
+        listed = state.agents_by_host.get(view.host)
         if listed is None or listed.service_tag == view.service_tag:
             continue
         _record_view(state, view, now)
     relisted = [
         (host, service)
-        for host, service in state.holders.unlisted
-        if host in state.by_host
-        and state.by_host[host].upstream.service == service
+        for host, service in state.catalog_gaps.unlisted
+        if host in state.agents_by_host
+        and state.agents_by_host[host].upstream.service == service
     ]
     for key in relisted:
-        state.holders.unlisted.pop(key)
+        state.catalog_gaps.unlisted.pop(key)
 
 
 def _record_view(state: PacketState, view: AgentView, now: float) -> AgentView:
@@ -88,11 +88,11 @@
     The view stands for the host and service, not for one process start.
     """
     key = (view.host, view.upstream.service)
-    view_without_entry = state.holders.unlisted.get(key)
+    view_without_entry = state.catalog_gaps.unlisted.get(key)
     if view_without_entry is None:
         view_without_entry = AgentView(view.upstream, now)
-        state.holders.unlisted[key] = view_without_entry
-        state.holders.unspoken.clear()
+        state.catalog_gaps.unlisted[key] = view_without_entry
+        state.catalog_gaps.uncovered_agents.clear()
     view_without_entry.missing_since = now
     return view_without_entry
 
@@ -107,11 +107,11 @@
     catalog lists.
     """
     tag = event.envelope.service_tag
-    effects = note_service(state, event.sender, tag, event.now)
-    listed = state.by_host.get(event.sender)
+    effects = record_service(state, event.sender, tag, event.now)
+    listed = state.agents_by_host.get(event.sender)
     views = [
         view
-        for view in (listed, *state.holders.unlisted.values())
+        for view in (listed, *state.catalog_gaps.unlisted.values())
         if view is not None and view.host == event.sender
     ]
     if not views:
@@ -126,7 +126,7 @@
     return sender, effects
 
 
-def note_service(
+def record_service(
     state: PacketState,
     host: str,
     tag: int,
@@ -137,13 +137,13 @@
     Does nothing unless a route leads to the service and the catalog lists the
     host.
     """
-    listed = state.by_host.get(host)
+    listed = state.agents_by_host.get(host)
     if listed is None or listed.service_tag == tag:
         return ()
     service = _find_service(state, tag)
     if service is None:
         return ()
-    was_known = (host, service) in state.holders.unlisted
+    was_known = (host, service) in state.catalog_gaps.unlisted
     row = listed.upstream._replace(service=service)
     _record_view(state, AgentView(row, now), now)
     if was_known:
@@ -170,15 +170,15 @@
     )
 
 
-def forget_unlisted(state: PacketState, now: float) -> None:
+def expire_unlisted(state: PacketState, now: float) -> None:
     """Forget unlisted agents that were not seen for UNLISTED_SECONDS."""
     expired = [
         key
-        for key, view in state.holders.unlisted.items()
+        for key, view in state.catalog_gaps.unlisted.items()
         if now - max(view.missing_since or 0, view.last_heard)
         > defaults.UNLISTED_SECONDS
     ]
     for key in expired:
-        state.holders.unlisted.pop(key)
+        state.catalog_gaps.unlisted.pop(key)
     if expired:
-        state.holders.unspoken.clear()
+        state.catalog_gaps.uncovered_agents.clear()
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/verdicts.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/verdicts.py
@@ -10,22 +10,22 @@
 from keelgap.runtime.lines import MAX_LISTED
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import (
-    CatchUp,
     Decided,
     PacketEffect,
+    RefreshCatalog,
     SendReset,
 )
-from keelgap_balancer.packets.searches import Search
+from keelgap_balancer.packets.searches import FlowSearch
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.unlisted import find_agent, list_unlisted
 from keelgap_balancer.packets.views import AgentView
 
 __all__ = (
-    'give_verdict',
-    'list_members',
-    'list_nodes',
-    'list_strangers',
-    'list_undenied',
+    'conclude_search',
+    'list_route_agents',
+    'list_directory_nodes',
+    'list_unknown_hosts',
+    'list_possible_owners',
     'serves_route',
 )
 
@@ -37,17 +37,19 @@
     return any(share.service == view.upstream.service for share in route.shares)
 
 
-def list_members(state: PacketState, route: PacketRoute) -> list[AgentView]:
+def list_route_agents(
+    state: PacketState, route: PacketRoute
+) -> list[AgentView]:
     """Return the agents that may serve a route, whether or not listed."""
     listed = [
         view
         for share in route.shares
-        for view in state.by_service.get(share.service, ())
+        for view in state.agents_by_service.get(share.service, ())
     ]
     return [*listed, *list_unlisted(state, route)]
 
 
-def list_nodes(
+def list_directory_nodes(
     state: PacketState,
     route: PacketRoute,
     key: bytes,
@@ -64,23 +66,23 @@
     )
 
 
-def list_strangers(
+def list_unknown_hosts(
     state: PacketState,
-    search: Search,
+    search: FlowSearch,
     hosts: tuple[str, ...],
 ) -> list[str]:
     """Return the hosts that are not known to serve the route of a search."""
-    route = state.find_route(search.latest)
+    route = state.find_route(search.latest_packet)
     if route is None:
         return []
     return [host for host in hosts if find_agent(state, route, host) is None]
 
 
-def list_undenied(
+def list_possible_owners(
     state: PacketState,
-    search: Search,
+    search: FlowSearch,
     route: PacketRoute,
-    nodes: tuple[str, ...],
+    directory_nodes: tuple[str, ...],
     required_denials: int,
 ) -> list[AgentView]:
     """Return the agents that may still hold a flow.
@@ -89,32 +91,36 @@
     ``required_denials`` of the directory nodes that cover it did.
     """
     denying = tuple(
-        host for host in nodes if _is_denial_current(state, search, host)
+        host
+        for host in directory_nodes
+        if _is_denial_current(state, search, host)
     )
-    uncovered = _list_unspoken(state, route, denying, required_denials)
+    uncovered = _list_uncovered(state, route, denying, required_denials)
     candidates = dict.fromkeys(
         (*uncovered, *_list_named_owners(state, route, search)),
     )
     return [view for view in candidates if view.host not in search.missed]
 
 
-def _is_denial_current(state: PacketState, search: Search, host: str) -> bool:
+def _is_denial_current(
+    state: PacketState, search: FlowSearch, host: str
+) -> bool:
     """Return whether a node denied a flow for its present list of agents."""
-    node = state.nodes.get(host)
-    return node is not None and search.denied.get(host) == node.digest
+    node = state.directory_nodes.get(host)
+    return node is not None and search.denying_nodes.get(host) == node.digest
 
 
 def _list_named_owners(
     state: PacketState,
     route: PacketRoute,
-    search: Search,
+    search: FlowSearch,
 ) -> list[AgentView]:
     """Return the agents named as owners: only they can deny the flow."""
-    views = (find_agent(state, route, host) for host in search.named)
+    views = (find_agent(state, route, host) for host in search.named_owners)
     return [view for view in views if view is not None]
 
 
-def _list_unspoken(
+def _list_uncovered(
     state: PacketState,
     route: PacketRoute,
     denying: tuple[str, ...],
@@ -125,26 +131,31 @@
     After an outage hundreds of flows need the same result.  Without the cache,
     concluding a search among 1,000 upstreams took 2.3 ms instead of 0.1 ms.
     """
-    digests = tuple((host, state.nodes[host].digest) for host in denying)
+    digests = tuple(
+        (host, state.directory_nodes[host].digest) for host in denying
+    )
     key = (route.shares, digests, required_denials)
-    agents = state.holders.unspoken.get(key)
+    agents = state.catalog_gaps.uncovered_agents.get(key)
     if agents is None:
-        covered = [state.nodes[host].covered for host in denying]
+        covered = [state.directory_nodes[host].covered for host in denying]
         agents = tuple(
             view
-            for view in list_members(state, route)
+            for view in list_route_agents(state, route)
             if sum(view.host in hosts for hosts in covered) < required_denials
         )
-        if len(state.holders.unspoken) >= defaults.MAX_CACHED_UNCOVERED:
-            state.holders.unspoken.clear()
-        state.holders.unspoken[key] = agents
+        if (
+            len(state.catalog_gaps.uncovered_agents)
+            >= defaults.MAX_CACHED_UNCOVERED
+        ):
+            state.catalog_gaps.uncovered_agents.clear()
+        state.catalog_gaps.uncovered_agents[key] = agents
     return agents
 
 
-def give_verdict(
+def conclude_search(
     state: PacketState,
     route: PacketRoute,
-    search: Search,
+    search: FlowSearch,
     key: bytes,
     now: float,
 ) -> Effects:
@@ -156,47 +167,49 @@
     of by now have been read and lapsed entries may have been renewed.  Agents
     that appear in the meantime are queried.
     """
-    if not search.questions:
+    if not search.query_count:
         state.searches.pop(key, None)
         return (Decided('search_without_upstream'),)
     fields = {
         'flow': state.format.describe_key(key),
         'route': route.name,
-        'asked': search.questions,
-        'milliseconds': round((now - search.started) * 1000, 1),
+        'asked': search.query_count,
+        'milliseconds': round((now - search.started_at) * 1000, 1),
         'revision': state.confirmed_revision,
         **_describe_denials(state, route, search),
     }
     # Updated at each attempt: a change announced after the denials may still
     # be older than the flow.
-    search.needed_revision = state.latest_change if state.is_behind else 0
-    if search.needed_revision > state.confirmed_revision:
-        search.is_parked = True
-        fields['latest_change'] = search.needed_revision
+    search.required_revision = (
+        state.latest_change if state.is_catalog_stale else 0
+    )
+    if search.required_revision > state.confirmed_revision:
+        search.awaits_catalog = True
+        fields['latest_change'] = search.required_revision
         logged = _log_once(search, 'verdict_waits_for_catalog', fields)
-        return CatchUp(), *logged
-    may_lack = search.may_lack_entries and state.is_newly_informed(now)
-    if may_lack or state.is_after_gap(now):
+        return RefreshCatalog(), *logged
+    may_lack = search.may_lack_entries and state.is_newly_started(now)
+    if may_lack or state.is_after_catalog_gap(now):
         return _await_entries(search, fields, now)
     state.searches.pop(key, None)
-    state.caller_waits.record_reset(key, now, now - search.started)
-    return SendReset(search.latest), Decided('reset_dead_flow', fields)
+    state.caller_waits.record_reset(key, now, now - search.started_at)
+    return SendReset(search.latest_packet), Decided('reset_dead_flow', fields)
 
 
 def _describe_denials(
     state: PacketState,
     route: PacketRoute,
-    search: Search,
+    search: FlowSearch,
 ) -> dict[str, object]:
     """Return log fields with the agents and nodes that denied a flow."""
-    nodes = {
-        host: len(state.nodes[host].covered)
-        for host in search.denied
-        if host in state.nodes
+    directory_nodes = {
+        host: len(state.directory_nodes[host].covered)
+        for host in search.denying_nodes
+        if host in state.directory_nodes
     }
     return {
-        'members': len(list_members(state, route)),
-        'nodes': nodes,
+        'members': len(list_route_agents(state, route)),
+        'nodes': directory_nodes,
         'denied_by': len(search.missed),
         'denied_by_hosts': sorted(search.missed)[:MAX_LISTED],
         'known_change': state.latest_change,
@@ -204,17 +217,17 @@
 
 
 def _await_entries(
-    search: Search,
+    search: FlowSearch,
     fields: dict[str, object],
     now: float,
 ) -> Effects:
     """Suspend a search until lapsed entries may have been renewed."""
-    search.kept_since = now
+    search.awaiting_entries_since = now
     return _log_once(search, 'no_verdict_without_entries', fields)
 
 
 def _log_once(
-    search: Search,
+    search: FlowSearch,
     name: str,
     fields: dict[str, object],
 ) -> Effects:
@@ -222,7 +235,7 @@
 
     Hundreds of searches may be suspended again with each catalog.
     """
-    if name in search.told:
+    if name in search.logged_waits:
         return ()
-    search.told.add(name)
+    search.logged_waits.add(name)
     return (Decided(name, fields),)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/waiting.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/waiting.py
@@ -8,32 +8,36 @@
 """
 
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.directories import ask_waiting
+from keelgap_balancer.packets.directories import send_queued_lookups
 from keelgap_balancer.packets.effects import PacketEffect
-from keelgap_balancer.packets.search import go_on
-from keelgap_balancer.packets.searches import Search
+from keelgap_balancer.packets.search import resume_search
+from keelgap_balancer.packets.searches import FlowSearch
 from keelgap_balancer.packets.state import PacketState
 
-__all__ = ('look_up_again', 'resume_kept', 'resume_parked')
+__all__ = (
+    'retry_lookups',
+    'resume_awaiting_entries',
+    'resume_awaiting_catalog',
+)
 
 Effects = tuple[PacketEffect, ...]
 
 
-def resume_parked(state: PacketState, now: float) -> Effects:
+def resume_awaiting_catalog(state: PacketState, now: float) -> Effects:
     """Resume searches that waited for a later catalog."""
     effects: list[PacketEffect] = []
     for key, search in tuple(state.searches.items()):
-        if not search.is_parked:
+        if not search.awaits_catalog:
             continue
-        if search.needed_revision > state.confirmed_revision:
+        if search.required_revision > state.confirmed_revision:
             continue
-        search.end_wait(now)
-        search.begin_anew()
-        effects.extend(go_on(state, search, key, now))
+        search.resume(now)
+        search.restart_lookups()
+        effects.extend(resume_search(state, search, key, now))
     return tuple(effects)
 
 
-def resume_kept(state: PacketState, now: float) -> Effects:
+def resume_awaiting_entries(state: PacketState, now: float) -> Effects:
     """Resume searches that waited for lapsed entries to be renewed.
 
     Agents whose entries are back are queried; if there are none, the search is
@@ -42,41 +46,41 @@
     """
     effects: list[PacketEffect] = []
     for key, search in tuple(state.searches.items()):
-        if search.kept_since is None:
+        if search.awaiting_entries_since is None:
             continue
-        search.end_wait(now)
+        search.resume(now)
         if not _is_still_denied(state, search):
-            search.begin_anew()
-        effects.extend(go_on(state, search, key, now))
+            search.restart_lookups()
+        effects.extend(resume_search(state, search, key, now))
     return tuple(effects)
 
 
-def _is_still_denied(state: PacketState, search: Search) -> bool:
+def _is_still_denied(state: PacketState, search: FlowSearch) -> bool:
     """Return whether the nodes that denied a flow cover the same agents."""
     return all(
-        state.nodes[host].digest == digest
-        for host, digest in search.denied.items()
+        state.directory_nodes[host].digest == digest
+        for host, digest in search.denying_nodes.items()
     )
 
 
-def look_up_again(state: PacketState, host: str, now: float) -> Effects:
+def retry_lookups(state: PacketState, host: str, now: float) -> Effects:
     """Repeat the lookups of a directory node that is heard but did not answer.
 
     It started after the lookup was sent, so nothing received it.  The lookup
     is repeated once only: a node that is heard but never answers must not
     delay searches.
     """
-    node = state.nodes.get(host)
+    node = state.directory_nodes.get(host)
     if node is None or node.asked_at is None or node.was_asked_again:
         return ()
     if now - node.asked_at < defaults.SEARCH_STEP_TIMEOUT_SECONDS:
         return ()
     for key, search in state.searches.items():
-        if search.is_waiting or search.pending is not None:
+        if search.is_suspended or search.pending_host is not None:
             continue
-        if search.lacks_answer(host):
-            search.lookups.add(host)
+        if search.has_unanswered_lookup(host):
+            search.pending_lookups.add(host)
             search.pending_since = now
             node.waiting[key] = None
     node.was_asked_again = True
-    return ask_waiting(state, host, node, now)
+    return send_queued_lookups(state, host, node, now)
--- a/tests/packets/machine.py
+++ b/tests/packets/machine.py
@@ -30,7 +30,7 @@
 from keelgap_balancer.packets import effects as balancer_effects
 from keelgap_balancer.packets import events as balancer_events
 from keelgap_balancer.packets import reducer as balancer_reducer
-from keelgap_balancer.packets.state import PacketState, make_owners
+from keelgap_balancer.packets.state import PacketState, make_owner_cache
 from tests.packets.building import (
     ACK,
     BOARD,
@@ -245,7 +245,7 @@
         self._send(second, request)
         self.deliver_all()
         stamp = self.balancers[first].make_stamp()
-        heard = balancer_events.StampHeard(self.now, stamp)
+        heard = balancer_events.PeerStampReceived(self.now, stamp)
         self._run_balancer(second, heard)
         self._read(second, earlier)
         self.deliver_all()
@@ -260,7 +260,7 @@
         The others noticed that the store was away, and the agents know.
         """
         self.deliver_all()
-        away = balancer_events.StoreSeen(self.now, 0, 0, reaches_store=False)
+        away = balancer_events.StorePolled(self.now, 0, 0, reaches_store=False)
         self._run_balancer(BALANCERS[1], away)
         self.advance(balancer_defaults.POLL_INTERVAL_SECONDS)
         self.deliver_all()
@@ -273,7 +273,7 @@
     def wait_for_entries(self, number: int, retransmissions: int) -> None:
         """Callers repeat their packets until the entry must be back."""
         self.deliver_all()
-        away = balancer_events.StoreSeen(self.now, 0, 0, reaches_store=False)
+        away = balancer_events.StorePolled(self.now, 0, 0, reaches_store=False)
         self._run_balancer(BALANCERS[1], away)
         self.advance(balancer_defaults.POLL_INTERVAL_SECONDS)
         self.deliver_all()
@@ -299,7 +299,7 @@
             self.learn(host)
         self.advance(balancer_defaults.MISSING_ENTRY_SECONDS / 2)
         # The routers move all flows, and a balancer must find them.
-        self.balancers[BALANCERS[0]].owners = make_owners(self.now)
+        self.balancers[BALANCERS[0]].owners = make_owner_cache(self.now)
         self._speak_on_all_flows(BALANCERS[0])
         self._put_on_list(row)
 
@@ -308,7 +308,7 @@
         """Cut an agent off while callers speak, and balancers search."""
         self.deliver_all()
         self.cut_off = f'10.0.0.{number}'
-        self.balancers[BALANCERS[0]].owners = make_owners(self.now)
+        self.balancers[BALANCERS[0]].owners = make_owner_cache(self.now)
         for key in sorted(self.accepted & self.flows.keys()):
             for _ in range(len(self.hosts)):
                 if key not in self.flows:
@@ -420,7 +420,7 @@
             return
         self.deliver_all()
         self.advance(balancer_defaults.SEARCH_TIMEOUT_SECONDS + 0.1)
-        if self.balancers[host].is_newly_informed(self.now):
+        if self.balancers[host].is_newly_started(self.now):
             self.advance(balancer_defaults.MISSING_ENTRY_SECONDS)
         self.learn(host)
         self.deliver_all()
@@ -548,7 +548,7 @@
             catalog._replace(missed=missed),
         )
         self._run_balancer(host, event)
-        seen = balancer_events.StoreSeen(
+        seen = balancer_events.StorePolled(
             self.now,
             catalog.revision,
             catalog.revision,
@@ -621,7 +621,7 @@
         for other in BALANCERS:
             if other == host:
                 continue
-            heard = balancer_events.StampHeard(self.now, stamp, host)
+            heard = balancer_events.PeerStampReceived(self.now, stamp, host)
             self.in_flight.append(
                 (other, partial(self._run_balancer, other, heard)),
             )
@@ -632,7 +632,7 @@
             if other == host:
                 continue
             stamp = self.balancers[other].make_stamp()
-            heard = balancer_events.StampHeard(self.now, stamp, other)
+            heard = balancer_events.PeerStampReceived(self.now, stamp, other)
             self.in_flight.append(
                 (host, partial(self._run_balancer, host, heard)),
             )
@@ -673,7 +673,7 @@
             elif isinstance(effect, balancer_effects.SendReset):
                 self._check_reset(effect.datagram)
             elif (
-                isinstance(effect, balancer_effects.CatchUp)
+                isinstance(effect, balancer_effects.RefreshCatalog)
                 and host != self.reads_late
             ):
                 self.in_flight.append((host, partial(self.learn, host)))
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -21,7 +21,7 @@
     Decided,
     SendReset,
     SendToAgent,
-    TellBalancers,
+    SendToBalancers,
 )
 from keelgap_balancer.packets.events import EnvelopeArrived, TimerFired
 from keelgap_balancer.packets.shares import CallerShares, Queue
@@ -195,7 +195,7 @@
     def test_other_balancers_are_told(self) -> None:
         """Most retries meet another one, since the routers hash the port."""
         told = self.effects[-1]
-        self.assertIsInstance(told, TellBalancers)
+        self.assertIsInstance(told, SendToBalancers)
         expected = (RefusedCaller(FLOW.key, 0, 1),)
         self.assertEqual(unpack_refused(told.content), expected)
 
@@ -224,11 +224,11 @@
         effects = []
         for number in range(1, 11):
             effects.extend(self.open(FlowName(f'100.64.1.{number}', 5)))
-        told = [one for one in effects if isinstance(one, TellBalancers)]
+        told = [one for one in effects if isinstance(one, SendToBalancers)]
         self.assertEqual(len(told), 1)
         self.now += defaults.REFUSED_INTERVAL_SECONDS
         effects = self.take(TimerFired(self.now))
-        (told,) = [one for one in effects if isinstance(one, TellBalancers)]
+        (told,) = [one for one in effects if isinstance(one, SendToBalancers)]
         self.assertEqual(len(unpack_refused(told.content)), 9)
 
     def test_message_that_is_cut_is_dropped(self) -> None:
@@ -316,7 +316,8 @@
             self.now += defaults.LEVEL_PAUSE_SECONDS * 1.01
             self.send(SYN, FlowName(f'100.64.4.{step + 1}', 7))
         if (
-            self.now - self.state.caller_waits.shares.levels[QUEUE].pressed_at
+            self.now
+            - self.state.caller_waits.shares.levels[QUEUE].last_pressure_at
             < 1
         ):
             self.fail('pressure must have lasted for the test to say much')
@@ -328,8 +329,8 @@
         shares = CallerShares()
         for number in range(5 * defaults.MAX_CALLERS):
             if not number % 100:
-                shares.note_offered(QUEUE, HOST, self.now)
-            shares.note_offered(QUEUE, number.to_bytes(4, 'big'), self.now)
+                shares.record_offered(QUEUE, HOST, self.now)
+            shares.record_offered(QUEUE, number.to_bytes(4, 'big'), self.now)
         self.assertEqual(len(shares.counts), defaults.MAX_CALLERS)
         got = 5 * defaults.MAX_CALLERS // 100
         self.assertGreater(shares.read(QUEUE, HOST, self.now), got - 1)
--- a/tests/packets/test_balancer.py
+++ b/tests/packets/test_balancer.py
@@ -16,8 +16,8 @@
 )
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import (
-    CatchUp,
     Decided,
+    RefreshCatalog,
     SendReset,
     SendToAgent,
 )
@@ -26,7 +26,7 @@
     CatalogChanged,
     EnvelopeArrived,
     PacketEvent,
-    StoreSeen,
+    StorePolled,
     TimerFired,
 )
 from keelgap_balancer.packets.placement import choose_service
@@ -97,7 +97,7 @@
         return [
             effect
             for effect in effects
-            if isinstance(effect, SendToAgent | SendReset | CatchUp)
+            if isinstance(effect, SendToAgent | SendReset | RefreshCatalog)
         ]
 
     def report(self, host: str, **fields: Any) -> None:
@@ -351,7 +351,7 @@
         """The flow may live at an upstream that started a moment ago."""
         self.stamp = Stamp(7, may_lack_entries=False)
         effects = self.find_nobody()
-        self.assertEqual(effects, [CatchUp()])
+        self.assertEqual(effects, [RefreshCatalog()])
         later = make_upstream(4)
         effects = self.change(make_catalog(7, [*self.boards, later]))
         asked = [one for one in effects if isinstance(one, SendToAgent)]
@@ -362,7 +362,7 @@
         """What others knew of was no change of this catalog."""
         self.stamp = Stamp(7, may_lack_entries=False)
         self.find_nobody()
-        effects = self.take(StoreSeen(self.now, 7, 7, reaches_store=True))
+        effects = self.take(StorePolled(self.now, 7, 7, reaches_store=True))
         packet = make_packet(FLOW, ACK)
         self.assertEqual(effects[0], SendReset(packet))
 
--- a/tests/packets/test_complete_agents.py
+++ b/tests/packets/test_complete_agents.py
@@ -11,7 +11,7 @@
 from keelgap.packets.notices import UpstreamNotice, pack_notice, unpack_notice
 from keelgap_agent.packets.events import EnvelopeArrived
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.events import StampHeard, TimerFired
+from keelgap_balancer.packets.events import PeerStampReceived, TimerFired
 from tests.packets.building import make_catalog, make_upstream
 from tests.packets.directory_machine import SmallDirectoryMachine
 from tests.packets.machine import BALANCERS
@@ -96,7 +96,7 @@
 
     def hear_of_a_change(self) -> None:
         """Let another balancer tell of a change that is not known here."""
-        self.take(StampHeard(self.now, Stamp(2, may_lack_entries=False)))
+        self.take(PeerStampReceived(self.now, Stamp(2, may_lack_entries=False)))
 
     def test_it_does_not_say_which_start_the_upstream_is(self) -> None:
         """Another may have taken its place."""
--- a/tests/packets/test_directory_oracle.py
+++ b/tests/packets/test_directory_oracle.py
@@ -37,13 +37,13 @@
 
 
 record_upstream = registration.record_upstream
-list_unspoken = verdicts._list_unspoken  # noqa: WPS437
+list_unspoken = verdicts._list_uncovered  # noqa: WPS437
 begin_stream = registration._begin_stream  # noqa: WPS437
 
 DELIBERATE_FAULTS = {
     'a node that speaks for everybody': (
         verdicts,
-        '_list_unspoken',
+        '_list_uncovered',
         speak_for_all,
     ),
     'a new node without the earlier flows': (
--- a/tests/packets/test_directory_search.py
+++ b/tests/packets/test_directory_search.py
@@ -12,7 +12,11 @@
 from keelgap.packets.envelopes import NO_STAMP, EnvelopeKind, Stamp
 from keelgap.packets.notices import unpack_notice
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.effects import CatchUp, SendReset, SendToAgent
+from keelgap_balancer.packets.effects import (
+    RefreshCatalog,
+    SendReset,
+    SendToAgent,
+)
 from keelgap_balancer.packets.events import TimerFired
 from keelgap_balancer.packets.state import PacketState
 from tests.packets import test_balancer
@@ -231,7 +235,7 @@
         (question,) = self.send(ACK)
         self.stamp = Stamp(6, may_lack_entries=False)
         effects = self.find(question.host, '10.0.0.77')
-        self.assertEqual(effects, [CatchUp()])
+        self.assertEqual(effects, [RefreshCatalog()])
         later = make_catalog(6, [*self.boards, make_upstream(77)])
         effects = self.change(later)
         self.assertIn(EnvelopeKind.LOOKUP, self.list_kinds(effects))
@@ -253,7 +257,9 @@
         self.change(make_catalog(6, [*self.boards, reused]))
         (question,) = self.send(ACK)
         self.stamp = Stamp(7, may_lack_entries=False)
-        self.assertEqual(self.find(question.host, '10.0.0.77'), [CatchUp()])
+        self.assertEqual(
+            self.find(question.host, '10.0.0.77'), [RefreshCatalog()]
+        )
         later = make_upstream(77, generation=1)._replace(revision=7)
         effects = self.change(make_catalog(7, [*self.boards, later]))
         self.check_no_reset(effects)
@@ -276,7 +282,7 @@
     def test_verdict_waits_for_a_later_catalog(self) -> None:
         """A node heard of a change that this balancer has not read."""
         self.stamp = Stamp(9, may_lack_entries=False)
-        self.assertEqual(self.deny(), [CatchUp()])
+        self.assertEqual(self.deny(), [RefreshCatalog()])
         self.stamp = NO_STAMP
         kinds = self.list_kinds(self.change(make_catalog(9, self.boards)))
         self.assertIn(EnvelopeKind.LOOKUP, kinds)
--- a/tests/packets/test_ejection.py
+++ b/tests/packets/test_ejection.py
@@ -738,13 +738,13 @@
         play(world, 1, each_tick=5)
         lost = world.upstreams[host].requests['reset']
         for balancer in world.balancers.values():
-            balancer.ejections.out.clear()
-            balancer.ejections.wanting.clear()
+            balancer.ejections.ejected_since.clear()
+            balancer.ejections.awaiting_trial.clear()
         ends = Counter(world.ask() for _ in range(40))
         self.assertEqual(set(ends), {GOOD})
         self.assertEqual(world.upstreams[host].requests['reset'], lost)
         for balancer in world.balancers.values():
-            self.assertLessEqual(len(balancer.ejections.out), 1)
+            self.assertLessEqual(len(balancer.ejections.ejected_since), 1)
 
     def test_copy_of_an_opening_stays_with_its_agent(self) -> None:
         """An ejection meanwhile opens no second flow."""
@@ -787,7 +787,7 @@
         play(world, 6, each_tick=6)
         self.assertEqual(world.list_ejected(), [])
         for balancer in world.balancers.values():
-            self.assertEqual(balancer.ejections.out, {})
+            self.assertEqual(balancer.ejections.ejected_since, {})
 
     def test_only_repeatable_requests_are_sent_as_trials(self) -> None:
         """One that may run once goes where requests are served."""
--- a/tests/packets/test_ejection_bounds.py
+++ b/tests/packets/test_ejection_bounds.py
@@ -96,7 +96,7 @@
 def hear(balancer: PacketState, hosts: list[str], now: float) -> None:
     """Let a balancer hear at once that upstreams are ejected."""
     for host in hosts:
-        view = balancer.by_host[host]
+        view = balancer.agents_by_host[host]
         report = view.report._replace(is_ejected=True)
         ejection.record_ejection(balancer, view, report, now)
 
--- a/tests/packets/test_evacuation.py
+++ b/tests/packets/test_evacuation.py
@@ -11,7 +11,11 @@
 from keelgap.packets.notices import UpstreamNotice, pack_notice, unpack_notice
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import SendReset, SendToAgent
-from keelgap_balancer.packets.events import CallerPacket, StoreSeen, TimerFired
+from keelgap_balancer.packets.events import (
+    CallerPacket,
+    StorePolled,
+    TimerFired,
+)
 from keelgap_balancer.packets.state import PacketState
 from tests.packets import test_agent, test_balancer
 from tests.packets.building import (
@@ -153,7 +157,7 @@
     def test_marks_outlast_a_silent_store(self) -> None:
         """They stay in force with the rest of the catalog."""
         self.evacuate('a')
-        away = StoreSeen(self.now, 0, 0, reaches_store=False)
+        away = StorePolled(self.now, 0, 0, reaches_store=False)
         self.take(away)
         self.now += 60
         for number in (4, 5):
@@ -281,7 +285,7 @@
         self.put(4, former._replace(started=200))
         self.assertEqual(len(self.list_hosts('board')), 1)
         self.assertEqual(len(self.state.agents), 2)
-        self.assertEqual(self.state.gone, set())
+        self.assertEqual(self.state.missing, set())
 
     def test_a_zone_that_got_cold_is_not_taken_for_a_start(self) -> None:
         """An agent that began since does not know all flows there."""
@@ -296,7 +300,9 @@
 
     def list_hosts(self, service: str) -> list[str]:
         """Return the hosts of a service's upstreams."""
-        return [view.host for view in self.state.by_service.get(service, ())]
+        return [
+            view.host for view in self.state.agents_by_service.get(service, ())
+        ]
 
 
 class StampTests(test_balancer.BalancerTestCase):
--- a/tests/packets/test_given_back.py
+++ b/tests/packets/test_given_back.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import rule
 
-from keelgap_balancer.packets.searches import Search
+from keelgap_balancer.packets.searches import FlowSearch
 from tests.fuzzing import run_machine
 from tests.packets.building import ACK, BOARD, SYN, FlowName, make_packet
 from tests.packets.machine import BALANCERS, PacketMachine
@@ -85,7 +85,7 @@
     def test_one_set_of_hosts_for_both_is_found(self) -> None:
         """A fuzzer that cannot fail proves nothing."""
         patch = mock.patch.object(
-            Search, 'gave_back', property(confuse, ignore)
+            FlowSearch, 'declined_by', property(confuse, ignore)
         )
         with patch, self.assertRaisesRegex(AssertionError, 'living flow'):
             run_machine(GivenBackMachine, 400, STEPS, shrink=False)
--- a/tests/packets/test_inheriting.py
+++ b/tests/packets/test_inheriting.py
@@ -22,7 +22,7 @@
 )
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import Decided, SendToAgent
-from keelgap_balancer.packets.events import EnvelopeArrived, StampHeard
+from keelgap_balancer.packets.events import EnvelopeArrived, PeerStampReceived
 from keelgap_balancer.packets.state import PacketState
 from tests.packets.building import FORMAT, make_catalog, make_upstream
 from tests.packets.test_balancer import BalancerTestCase
@@ -67,7 +67,7 @@
 
     def hear(self, host: str = OTHER) -> list[Any]:
         """Let another balancer tell of the store; return the questions."""
-        return self.take(StampHeard(self.now, NO_STAMP, host))
+        return self.take(PeerStampReceived(self.now, NO_STAMP, host))
 
     def get(self, kind: EnvelopeKind, content: bytes) -> list[Any]:
         """Let another balancer send a message; return what follows."""
@@ -172,7 +172,7 @@
         """For as long as another balancer may offer them there."""
         (told,) = self.tell(ServedHost('10.0.0.9', BOARD_TAG))
         self.assertEqual(told.name, 'agent_of_unlisted_service')
-        self.assertIn(('10.0.0.9', 'board'), self.state.holders.unlisted)
+        self.assertIn(('10.0.0.9', 'board'), self.state.catalog_gaps.unlisted)
 
     def test_what_is_listed_alike_changes_nothing(self) -> None:
         """Nor do hosts that are not known, or services without a route."""
@@ -182,7 +182,7 @@
             ServedHost('10.0.0.2', 12345),
         )
         self.assertEqual(self.tell(*rows), [])
-        self.assertEqual(self.state.holders.unlisted, {})
+        self.assertEqual(self.state.catalog_gaps.unlisted, {})
 
     def test_octets_that_make_no_answer_are_counted(self) -> None:
         """And change nothing."""
--- a/tests/packets/test_oracle.py
+++ b/tests/packets/test_oracle.py
@@ -24,9 +24,9 @@
     now: float,
 ) -> Any:
     """Stand in for a search that takes silence for a no."""
-    route = state.find_route(found.latest)
-    key = state.format.caller_key(found.latest)
-    return verdicts.give_verdict(state, route, found, key, now)
+    route = state.find_route(found.latest_packet)
+    key = state.format.caller_key(found.latest_packet)
+    return verdicts.conclude_search(state, route, found, key, now)
 
 
 def judge_without_asking(state: Any, now: float) -> Any:
@@ -36,8 +36,8 @@
         [
             key
             for key, found in state.searches.items()
-            if found.is_parked
-            and found.needed_revision <= state.confirmed_revision
+            if found.awaits_catalog
+            and found.required_revision <= state.confirmed_revision
         ],
         now,
     )
@@ -52,8 +52,8 @@
 ) -> Any:
     """Stand in for a verdict that needs no change heard after the denials."""
     heard = state.latest_change
-    state.latest_change = found.needed_revision or heard
-    effects = verdicts.give_verdict(state, route, found, key, now)
+    state.latest_change = found.required_revision or heard
+    effects = verdicts.conclude_search(state, route, found, key, now)
     state.latest_change = heard
     return effects
 
@@ -63,9 +63,9 @@
     kept = [
         key
         for key, found in state.searches.items()
-        if found.kept_since is not None
+        if found.awaiting_entries_since is not None
     ]
-    if state.is_newly_informed(now):
+    if state.is_newly_started(now):
         return ()
     return judge_all(state, kept, now)
 
@@ -75,22 +75,22 @@
     effects: list[Any] = []
     for key in keys:
         found = state.searches[key]
-        found.end_wait(now)
-        route = state.find_route(found.latest)
-        effects.extend(verdicts.give_verdict(state, route, found, key, now))
+        found.resume(now)
+        route = state.find_route(found.latest_packet)
+        effects.extend(verdicts.conclude_search(state, route, found, key, now))
     return tuple(effects)
 
 
 def forget_at_once(state: Any, now: float) -> None:
     """Stand in for a balancer that drops an upstream with its entry."""
-    gone = [
+    missing = [
         upstream_id
         for upstream_id, view in state.agents.items()
         if view.missing_since is not None
     ]
-    for upstream_id in gone:
+    for upstream_id in missing:
         state.agents.pop(upstream_id)
-        state.gone.discard(upstream_id)
+        state.missing.discard(upstream_id)
     membership._rebuild_indexes(state)  # noqa: WPS437
 
 
@@ -133,7 +133,7 @@
 
 
 DELIBERATE_FAULTS = {
-    'silence that counts as a no': (asking, '_ask_again', ask_only_once),
+    'silence that counts as a no': (asking, '_query_again', ask_only_once),
     'an upstream forgotten with its entry': (
         balancer_reducer,
         'forget_gone',
@@ -148,23 +148,23 @@
     'a request without its flow': (AgentState, 'forget', forget_only_the_flow),
     'a wait for a catalog whose upstreams are not asked': (
         balancer_reducer,
-        'resume_parked',
+        'resume_awaiting_catalog',
         judge_without_asking,
     ),
     'a mark that is frozen at the denials': (
         search,
-        'give_verdict',
+        'conclude_search',
         judge_by_frozen_mark,
     ),
     'a wait for entries whose upstreams are not asked': (
         balancer_reducer,
-        'resume_kept',
+        'resume_awaiting_entries',
         judge_after_the_wait,
     ),
-    'a verdict from an old catalog': (PacketState, 'is_behind', False),
+    'a verdict from an old catalog': (PacketState, 'is_catalog_stale', False),
     'a verdict although entries may lack': (
         PacketState,
-        'is_newly_informed',
+        'is_newly_started',
         lambda state, now: False,
     ),
 }
--- a/tests/packets/test_placement.py
+++ b/tests/packets/test_placement.py
@@ -68,8 +68,8 @@
     now: float,
 ) -> None:
     """Let all agents report, those of a zone alike."""
-    for host, view in tuple(state.by_host.items()):
-        deliver(state, host, near if state.is_near(view) else far, now)
+    for host, view in tuple(state.agents_by_host.items()):
+        deliver(state, host, near if state.is_same_zone(view) else far, now)
 
 
 def make_key(number: int) -> bytes:
@@ -144,8 +144,8 @@
         """The wait here is far beyond the way."""
         state = make_state(SMALL)
         report_all(state, self.crowded, IDLE, 1)
-        taker = state.by_host[choose(state, 1, 1.1)]
-        self.assertFalse(state.is_near(taker))
+        taker = state.agents_by_host[choose(state, 1, 1.1)]
+        self.assertFalse(state.is_same_zone(taker))
 
     def test_stays_for_a_short_wait(self) -> None:
         """Each slot here is taken and one request waits; half are there."""
@@ -158,8 +158,8 @@
         )
         deliver(state, '10.0.0.0', IDLE._replace(busy=3, flows=30), 1)
         for number in range(50):
-            taker = state.by_host[choose(state, number, 1.1)]
-            self.assertTrue(state.is_near(taker))
+            taker = state.agents_by_host[choose(state, number, 1.1)]
+            self.assertTrue(state.is_same_zone(taker))
 
     def test_no_herd(self) -> None:
         """Fifteen balancers read the same reports, two seconds old."""
@@ -192,7 +192,7 @@
         for number in range(60):
             state = states[number % 15]
             host = choose(state, number, 2.95)
-            state.by_host[host].flows_since_report += 1
+            state.agents_by_host[host].flows_since_report += 1
             taken.append(host)
         return taken.count('10.0.0.0')
 
@@ -204,10 +204,12 @@
         deliver(state, '10.0.0.0', usual._replace(busy=3), 1)
         deliver(state, '10.1.0.0', usual._replace(busy=0), 1)
         self.assertEqual(choose(state, 1, 1), '10.1.0.0')
-        for host, view in tuple(state.by_host.items()):
-            if state.is_near(view):
+        for host, view in tuple(state.agents_by_host.items()):
+            if state.is_same_zone(view):
                 deliver(state, host, view.report, 4)
-        self.assertTrue(state.is_near(state.by_host[choose(state, 1, 4)]))
+        self.assertTrue(
+            state.is_same_zone(state.agents_by_host[choose(state, 1, 4)])
+        )
 
     def test_lines_are_bounded(self) -> None:
         """A thousand flows leave the zone in a second: one line tells it."""
@@ -234,7 +236,7 @@
     def test_copies_meet_the_same_agent(self) -> None:
         """Two balancers, whose reports differ by one request here and there."""
         first, second = World(SMALL, ON, 1).balancers[:2]
-        for number, host in enumerate(first.by_host):
+        for number, host in enumerate(first.agents_by_host):
             report = IDLE._replace(busy=12 + number % 2, work_ms=50)
             deliver(first, host, report, 1)
             deliver(second, host, report._replace(busy=12), 1)
@@ -250,7 +252,7 @@
         random = Random(5)
         same = 0
         for number in range(400):
-            for host in tuple(first.by_host):
+            for host in tuple(first.agents_by_host):
                 report = IDLE._replace(busy=2 + random.randrange(2), flows=9)
                 deliver(first, host, report, 1)
                 more = not random.randrange(10)
@@ -264,7 +266,9 @@
         state = make_state(SMALL)
         report_all(state, IDLE, IDLE, 1)
         closed, quiet, fast, *_ = (
-            view for view in state.by_host.values() if state.is_near(view)
+            view
+            for view in state.agents_by_host.values()
+            if state.is_same_zone(view)
         )
         swift = IDLE._replace(work_ms=10)
         deliver(state, closed.host, swift._replace(closed=True), 1)
@@ -278,7 +282,9 @@
         state = make_state(SMALL)
         report_all(state, IDLE._replace(busy=3, flows=9), IDLE, 1)
         young, slow, *_ = (
-            view for view in state.by_host.values() if state.is_near(view)
+            view
+            for view in state.agents_by_host.values()
+            if state.is_same_zone(view)
         )
         deliver(state, young.host, LoadReport(0, 0, 0, closed=False), 1)
         deliver(state, slow.host, IDLE._replace(work_ms=150), 1)
@@ -322,7 +328,7 @@
         """All but one of a thousand owe an answer for long."""
         pattern = SMALL._replace(upstreams_in_zone=334, balancers_in_zone=1)
         state = make_state(pattern)
-        for view in state.by_host.values():
+        for view in state.agents_by_host.values():
             view.expect_answer(1)
         deliver(state, '10.2.0.200', IDLE, 3)
         self.assertEqual(choose(state, 1, 3.1), '10.2.0.200')
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -22,11 +22,11 @@
 from keelgap_agent.packets import defaults as agent_defaults
 from keelgap_agent.packets.events import TimerFired as AgentTimerFired
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.effects import CatchUp, Decided, SendReset
+from keelgap_balancer.packets.effects import Decided, RefreshCatalog, SendReset
 from keelgap_balancer.packets.events import (
     PacketEvent,
-    StampHeard,
-    StoreSeen,
+    PeerStampReceived,
+    StorePolled,
     TimerFired,
 )
 from keelgap_balancer.packets.state import PacketState
@@ -125,7 +125,7 @@
         self.deny()
         self.wait(1.4)
         self.send(ACK)
-        self.take(StoreSeen(self.now, 5, 7, reaches_store=True))
+        self.take(StorePolled(self.now, 5, 7, reaches_store=True))
         self.check_no_reset(self.wait(defaults.MISSING_ENTRY_SECONDS - 1.4))
         returned = make_upstream(50)
         effects = self.change(make_catalog(7, [*self.boards, returned]))
@@ -252,25 +252,25 @@
         effects: list[Any] = []
         for _ in range(2):
             search = self.state.searches[FLOW.key]
-            for host in tuple(search.lookups):
+            for host in tuple(search.pending_lookups):
                 effects.extend(self.find(host))
         return effects
 
     def wait_for_catalog(self) -> None:
         """Let all deny the flow, who know of a change not in force here."""
         self.stamp = Stamp(9, may_lack_entries=False)
-        self.assertEqual(self.deny(), [CatchUp()])
+        self.assertEqual(self.deny(), [RefreshCatalog()])
 
     def check_owner_is_found(self) -> None:
         """The flow's upstream is in no catalog before the one of 12."""
         self.change(make_catalog(9, self.boards))
         effects = self.ask_anew()
         self.check_no_reset(effects)
-        self.assertIn(CatchUp(), effects)
+        self.assertIn(RefreshCatalog(), effects)
         returned = make_upstream(50)
         effects = self.change(make_catalog(12, [*self.boards, returned]))
         host = returned.address.host
-        node = min(self.state.searches[FLOW.key].lookups)
+        node = min(self.state.searches[FLOW.key].pending_lookups)
         effects.extend(self.find(node, host))
         self.check_no_reset(effects)
         self.answer(host, EnvelopeKind.OWNED, FLOW.key)
@@ -280,7 +280,7 @@
         """What was written before them may be heard after them."""
         self.wait_for_catalog()
         later = Stamp(12, may_lack_entries=False)
-        self.take(StampHeard(self.now, later))
+        self.take(PeerStampReceived(self.now, later))
         self.check_owner_is_found()
 
     def test_change_that_the_store_tells_after_the_denials_counts(
@@ -288,7 +288,7 @@
     ) -> None:
         """The revision of a catalog may be older than the store's."""
         self.wait_for_catalog()
-        self.take(StoreSeen(self.now, 5, 12, reaches_store=True))
+        self.take(StorePolled(self.now, 5, 12, reaches_store=True))
         self.check_owner_is_found()
 
     def test_change_that_a_late_denial_tells_counts(self) -> None:
@@ -302,9 +302,9 @@
         self.wait_for_catalog()
         self.change(make_catalog(9, self.boards))
         self.stamp = Stamp(12, may_lack_entries=False)
-        node = min(self.state.searches[FLOW.key].lookups)
+        node = min(self.state.searches[FLOW.key].pending_lookups)
         self.find(node, '10.0.0.50')
-        self.take(StoreSeen(self.now, 9, 12, reaches_store=True))
+        self.take(StorePolled(self.now, 9, 12, reaches_store=True))
         self.change(make_catalog(10, self.boards))
         self.check_no_reset(self.ask_anew())
 
@@ -323,9 +323,9 @@
         self.wait_for_catalog()
         for revision in (9, 10, 11):
             later = Stamp(revision + 1, may_lack_entries=False)
-            self.take(StampHeard(self.now, later))
+            self.take(PeerStampReceived(self.now, later))
             self.change(make_catalog(revision, self.boards))
-            self.assertIn(CatchUp(), self.ask_anew())
+            self.assertIn(RefreshCatalog(), self.ask_anew())
         self.assertEqual(self.told.count('verdict_waits_for_catalog'), 1)
 
     def test_search_of_a_caller_that_left_ends_although_catalogs_come(
@@ -336,7 +336,7 @@
         for revision in range(9, 14):
             self.change(make_catalog(revision, self.boards))
             later = Stamp(revision + 1, may_lack_entries=False)
-            self.take(StampHeard(self.now, later))
+            self.take(PeerStampReceived(self.now, later))
             self.ask_anew()
             self.now += defaults.CALLER_SILENCE_SECONDS / 4
         self.change(make_catalog(14, self.boards))
@@ -347,13 +347,13 @@
         """Their catalog lets them ask it."""
         self.wait_for_catalog()
         search = self.state.searches[FLOW.key]
-        search.denied.pop(FIRST)
-        node = self.state.nodes[FIRST]
+        search.denying_nodes.pop(FIRST)
+        node = self.state.directory_nodes[FIRST]
         node.asked_at = self.now
         node.was_asked_again = False
         self.now += defaults.SEARCH_STEP_TIMEOUT_SECONDS
         self.report(FIRST)
-        self.assertEqual(search.lookups, set())
+        self.assertEqual(search.pending_lookups, set())
 
     def test_many_searches_read_the_store_once(self) -> None:
         """After an outage thousands wait for one catalog."""
@@ -370,10 +370,10 @@
             for part in pack_coverage(self.covered):
                 self.answer(node, EnvelopeKind.COVERED, part)
             effects = self.answer(node, EnvelopeKind.FOUND, content)
-            waits.append(effects.count(CatchUp()))
+            waits.append(effects.count(RefreshCatalog()))
         self.assertEqual(waits, [0, 1])
         searches = self.state.searches.values()
-        parked = sum(one.is_waiting for one in searches)
+        parked = sum(one.is_suspended for one in searches)
         self.assertEqual(parked, len(flows))
 
     def test_search_that_waits_for_a_catalog_is_not_begun_anew(self) -> None:
--- a/tests/packets/test_uneven.py
+++ b/tests/packets/test_uneven.py
@@ -44,7 +44,7 @@
 
 def get_zone(state: PacketState, host: str) -> str:
     """Return the availability zone of an upstream."""
-    return state.by_host[host].upstream.availability_zone
+    return state.agents_by_host[host].upstream.availability_zone
 
 
 def evacuate(state: PacketState, *zones: str) -> None:
@@ -71,7 +71,11 @@
         )
         # Somebody waits somewhere: demand is uneven.
         deliver(state, '10.1.0.0', IDLE._replace(busy=3, flows=3), 1)
-        near = [view for view in state.by_host.values() if state.is_near(view)]
+        near = [
+            view
+            for view in state.agents_by_host.values()
+            if state.is_same_zone(view)
+        ]
         cold = {view.host for view in near[:3]}
         for view in near[:3]:
             view.warm_up_until = 9
@@ -120,7 +124,7 @@
         report_all(state, IDLE, IDLE, 1)
         ejected = {
             host
-            for number, host in enumerate(state.by_host)
+            for number, host in enumerate(state.agents_by_host)
             if number % 5 in {0, 2}
         }
         for host in ejected:
@@ -147,15 +151,19 @@
         """Ten of 34 are well: flows stay, since these have room."""
         state = make_state(make_large(34))
         report_all(state, IDLE, IDLE, 1)
-        near = [view for view in state.by_host.values() if state.is_near(view)]
+        near = [
+            view
+            for view in state.agents_by_host.values()
+            if state.is_same_zone(view)
+        ]
         for view in near[:24]:
             view.expect_answer(1)
-        for view in state.by_host.values():
+        for view in state.agents_by_host.values():
             if view not in near[:24]:
                 deliver(state, view.host, IDLE, 2)
         for number in range(200):
-            taker = state.by_host[choose(state, number, 2)]
-            self.assertTrue(state.is_near(taker))
+            taker = state.agents_by_host[choose(state, number, 2)]
+            self.assertTrue(state.is_same_zone(taker))
             self.assertNotIn(taker, near[:24])
 
 
@@ -205,7 +213,7 @@
         self.assertEqual(self.count_lines(state, 1, 1.1), 1)
         ejected = IDLE._replace(is_ejected=True, wants_trial=True)
         deliver(state, '10.1.0.0', ejected, 1)
-        for host in tuple(state.by_host):
+        for host in tuple(state.agents_by_host):
             report = ejected if host == '10.1.0.0' else IDLE
             deliver(state, host, report, 30)
         before = state.latency_placement.placed_far
--- a/tests/packets/test_unlisted.py
+++ b/tests/packets/test_unlisted.py
@@ -200,7 +200,7 @@
         self.reuse()
         self.now += defaults.UNLISTED_SECONDS + 1
         self.take(TimerFired(self.now))
-        self.assertFalse(self.state.holders.unlisted)
+        self.assertFalse(self.state.catalog_gaps.unlisted)
         (reset,) = self.deny_at_others()
         self.assertIsInstance(reset, SendReset)
 
@@ -211,7 +211,7 @@
             self.now += 1
             self.say(HOST, 'proof')
             self.take(TimerFired(self.now))
-        self.assertFalse(self.state.holders.unlisted)
+        self.assertFalse(self.state.catalog_gaps.unlisted)
 
     def test_it_is_kept_while_it_names_the_service(self) -> None:
         """Its entry may come at any moment."""
@@ -219,7 +219,7 @@
             self.now += 1
             self.say(HOST, 'proof')
             self.take(TimerFired(self.now))
-        self.assertIn((HOST, 'proof'), self.state.holders.unlisted)
+        self.assertIn((HOST, 'proof'), self.state.catalog_gaps.unlisted)
 
     def test_it_takes_no_new_flow(self) -> None:
         """Its upstream has no entry that says what it bears."""
@@ -231,9 +231,9 @@
     def test_its_report_is_not_that_of_the_listed_upstream(self) -> None:
         """The load of a board says nothing of proofs."""
         self.reuse()
-        before = self.state.by_host[HOST].report
+        before = self.state.agents_by_host[HOST].report
         self.say(HOST, 'board', EnvelopeKind.REPORT, pack_report(BUSY))
-        self.assertEqual(self.state.by_host[HOST].report, before)
+        self.assertEqual(self.state.agents_by_host[HOST].report, before)
 
 
 class MissedUpstreamTests(BalancerTestCase):
@@ -259,7 +259,7 @@
         self.assertEqual(asked.host, '10.0.0.7')
         self.now += defaults.MISSING_ENTRY_SECONDS + 0.1
         self.take(TimerFired(self.now))
-        self.assertNotIn('10.0.0.7', self.state.by_host)
+        self.assertNotIn('10.0.0.7', self.state.agents_by_host)
 
     def test_it_takes_no_new_flow(self) -> None:
         """Its entry may never come back."""
