--- a/experiments/placing_model.py
+++ b/experiments/placing_model.py
@@ -31,7 +31,7 @@
 )
 from keelgap.packets.features import Features
 from keelgap_agent.packets.defaults import ANSWER_TIME_WEIGHT
-from keelgap_agent.packets.pace import ServiceTimeEstimator
+from keelgap_agent.packets.service_time import ServiceTimeEstimator
 from keelgap_balancer.packets.effects import SendToAgent
 from keelgap_balancer.packets.events import (
     CallerPacket,
--- a/packages/keelgap-agent/src/keelgap_agent/packets/notices.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/notices.py
@@ -10,13 +10,13 @@
 from keelgap.packets.notices import UpstreamNotice, unpack_notice
 from keelgap_agent.packets.effects import AgentEffect, Decided
 from keelgap_agent.packets.events import EnvelopeArrived
+from keelgap_agent.packets.pending_openings import release_openings
 from keelgap_agent.packets.registration import (
     announce_complete,
     record_upstream,
     update_directory,
 )
 from keelgap_agent.packets.state import AgentState
-from keelgap_agent.packets.untold import release_openings
 
 __all__ = ('handle_notice',)
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
@@ -51,6 +51,12 @@
     make_report_to,
     prepend_reports,
 )
+from keelgap_agent.packets.pending_openings import (
+    awaits_first_notice,
+    queue_opening,
+    release_openings,
+    retry_notice_request,
+)
 from keelgap_agent.packets.registration import (
     handle_resync,
     refresh_registrations,
@@ -70,12 +76,6 @@
     settle_queued_request,
 )
 from keelgap_agent.packets.state import AgentState
-from keelgap_agent.packets.untold import (
-    awaits_first_notice,
-    queue_opening,
-    release_openings,
-    retry_notice_request,
-)
 
 __all__ = ('reduce',)
 
--- a/tests/packets/test_cold.py
+++ b/tests/packets/test_cold.py
@@ -10,10 +10,10 @@
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap.packets.notices import UpstreamNotice, pack_notice
 from keelgap_agent.packets import defaults
-from keelgap_agent.packets.cold import WarmUpLimiter
 from keelgap_agent.packets.conf import WarmUpSettings
 from keelgap_agent.packets.effects import SendToUpstream
 from keelgap_agent.packets.state import AgentState
+from keelgap_agent.packets.warm_up_limiter import WarmUpLimiter
 from tests.packets import test_agent
 from tests.packets.building import FORMAT
 
--- a/tests/packets/test_pace.py
+++ b/tests/packets/test_pace.py
@@ -8,8 +8,8 @@
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.events import EnvelopeArrived, UpstreamPacket
 from keelgap_agent.packets.flows import Flow
-from keelgap_agent.packets.pace import ServiceTimeEstimator
 from keelgap_agent.packets.reducer import reduce
+from keelgap_agent.packets.service_time import ServiceTimeEstimator
 from keelgap_agent.packets.state import AgentState
 from tests.packets.building import ACK, FIN, FORMAT, FlowName, make_packet
 
