--- a/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
@@ -34,9 +34,12 @@
 )
 from keelgap_agent.packets.events import EnvelopeArrived
 from keelgap_agent.packets.flows import Flow, QueuedRequest
-from keelgap_agent.packets.outcomes.giving_up import reset_queued_flow
-from keelgap_agent.packets.outcomes.judging import record_opening, record_work
-from keelgap_agent.packets.outcomes.refusing import find_ejection_refusal
+from keelgap_agent.packets.outlier_ejection.abandonment import reset_queued_flow
+from keelgap_agent.packets.outlier_ejection.detection import (
+    record_opening,
+    record_work,
+)
+from keelgap_agent.packets.outlier_ejection.refusal import find_ejection_refusal
 from keelgap_agent.packets.refusals import find_refusal
 from keelgap_agent.packets.registration import register_flow
 from keelgap_agent.packets.request_log import log_request_started
--- a/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
@@ -5,7 +5,7 @@
 
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.events import EnvelopeArrived
-from keelgap_agent.packets.outcomes.state import InFlightRequest
+from keelgap_agent.packets.outlier_ejection.state import InFlightRequest
 from keelgap_agent.packets.scheduling.route_policy import RoutePolicy
 
 __all__ = ('Flow', 'QueuedRequest', 'LoggedRequest')
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/giving_up.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/abandonment.py
@@ -25,7 +25,7 @@
     SendToCaller,
 )
 from keelgap_agent.packets.events import EnvelopeArrived
-from keelgap_agent.packets.outcomes.acknowledging import (
+from keelgap_agent.packets.outlier_ejection.acknowledgments import (
     acknowledges_upstream,
 )
 from keelgap_agent.packets.state import AgentState
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/verdicts.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/decisions.py
@@ -3,9 +3,11 @@
 from typing import Final
 
 from keelgap_agent.packets.effects import AgentEffect, Decided
-from keelgap_agent.packets.outcomes import defaults
-from keelgap_agent.packets.outcomes.giving_up import abandon_queued_flows
-from keelgap_agent.packets.outcomes.score import Outcome, OutlierScore
+from keelgap_agent.packets.outlier_ejection import defaults
+from keelgap_agent.packets.outlier_ejection.abandonment import (
+    abandon_queued_flows,
+)
+from keelgap_agent.packets.outlier_ejection.score import Outcome, OutlierScore
 from keelgap_agent.packets.state import AgentState
 
 __all__ = ('record_outcome',)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/judging.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
@@ -6,15 +6,15 @@
 from keelgap_agent.packets.effects import AgentEffect
 from keelgap_agent.packets.events import EnvelopeArrived
 from keelgap_agent.packets.flows import Flow
-from keelgap_agent.packets.outcomes import defaults
-from keelgap_agent.packets.outcomes.acknowledging import (
+from keelgap_agent.packets.outlier_ejection import defaults
+from keelgap_agent.packets.outlier_ejection.abandonment import return_opening
+from keelgap_agent.packets.outlier_ejection.acknowledgments import (
     acknowledges_upstream,
     follows_opening,
 )
-from keelgap_agent.packets.outcomes.giving_up import return_opening
-from keelgap_agent.packets.outcomes.score import Outcome
-from keelgap_agent.packets.outcomes.state import InFlightRequest
-from keelgap_agent.packets.outcomes.verdicts import record_outcome
+from keelgap_agent.packets.outlier_ejection.decisions import record_outcome
+from keelgap_agent.packets.outlier_ejection.score import Outcome
+from keelgap_agent.packets.outlier_ejection.state import InFlightRequest
 from keelgap_agent.packets.state import AgentState
 
 __all__ = (
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/ejection.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/ejection.py
@@ -1,6 +1,6 @@
 """Ejection of an upstream, and the trials that end it."""
 
-from keelgap_agent.packets.outcomes import defaults
+from keelgap_agent.packets.outlier_ejection import defaults
 
 __all__ = ('Ejection',)
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/refusing.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/refusal.py
@@ -2,7 +2,7 @@
 
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap_agent.packets.events import EnvelopeArrived
-from keelgap_agent.packets.outcomes import defaults
+from keelgap_agent.packets.outlier_ejection import defaults
 from keelgap_agent.packets.state import AgentState
 
 __all__ = ('find_ejection_refusal',)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/score.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/score.py
@@ -10,7 +10,7 @@
 from types import MappingProxyType
 from typing import Final
 
-from keelgap_agent.packets.outcomes import defaults
+from keelgap_agent.packets.outlier_ejection import defaults
 
 __all__ = ('Outcome', 'OutlierScore')
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outcomes/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/state.py
@@ -3,9 +3,9 @@
 from typing import NamedTuple
 
 from keelgap_agent.packets.events import EnvelopeArrived
-from keelgap_agent.packets.outcomes import defaults
-from keelgap_agent.packets.outcomes.ejection import Ejection
-from keelgap_agent.packets.outcomes.score import OutlierScore
+from keelgap_agent.packets.outlier_ejection import defaults
+from keelgap_agent.packets.outlier_ejection.ejection import Ejection
+from keelgap_agent.packets.outlier_ejection.score import OutlierScore
 
 __all__ = ('AbandonedFlow', 'OutcomeTracker', 'InFlightRequest')
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
@@ -37,17 +37,17 @@
 )
 from keelgap_agent.packets.flows import Flow
 from keelgap_agent.packets.notices import handle_notice
-from keelgap_agent.packets.outcomes.giving_up import (
+from keelgap_agent.packets.outlier_ejection.abandonment import (
     answer_abandoned_flow,
     drop_abandoned_flow,
 )
-from keelgap_agent.packets.outcomes.judging import (
+from keelgap_agent.packets.outlier_ejection.detection import (
     detect_timeouts,
     record_opening_reply,
     record_packet_outcome,
     record_work,
 )
-from keelgap_agent.packets.outcomes.telling import (
+from keelgap_agent.packets.outlier_ejection.reports import (
     make_report_to,
     prepend_reports,
 )
@@ -68,7 +68,7 @@
     log_request_started,
     log_requests_unanswered,
 )
-from keelgap_agent.packets.scheduling.later import (
+from keelgap_agent.packets.scheduling.subsequent_requests import (
     handle_bounce,
     handle_subsequent_packet,
     must_queue,
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/order.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/order.py
@@ -7,7 +7,9 @@
 from keelgap_agent.packets.effects import AgentEffect, Observed
 from keelgap_agent.packets.flows import QueuedRequest
 from keelgap_agent.packets.scheduling import defaults
-from keelgap_agent.packets.scheduling.rests import record_released_request
+from keelgap_agent.packets.scheduling.continuations import (
+    record_released_request,
+)
 from keelgap_agent.packets.state import AgentState
 
 __all__ = ('choose_next', 'has_capacity', 'observe_wait')
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/later.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
@@ -16,10 +16,12 @@
 from keelgap_agent.packets.effects import AgentEffect, Decided
 from keelgap_agent.packets.events import EnvelopeArrived
 from keelgap_agent.packets.flows import Flow, QueuedRequest
-from keelgap_agent.packets.outcomes.judging import record_bounce_outcome
+from keelgap_agent.packets.outlier_ejection.detection import (
+    record_bounce_outcome,
+)
 from keelgap_agent.packets.request_log import log_requests_unanswered
+from keelgap_agent.packets.scheduling.continuations import record_packet_length
 from keelgap_agent.packets.scheduling.order import has_capacity
-from keelgap_agent.packets.scheduling.rests import record_packet_length
 from keelgap_agent.packets.scheduling.route_policy import update_policy
 from keelgap_agent.packets.state import AgentState
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/state.py
@@ -22,9 +22,9 @@
 from keelgap_agent.packets.directory_state import DirectoryNode
 from keelgap_agent.packets.effects import SendToPeer, SendToUpstream
 from keelgap_agent.packets.flows import Flow, QueuedRequest
-from keelgap_agent.packets.outcomes.state import OutcomeTracker
+from keelgap_agent.packets.outlier_ejection.state import OutcomeTracker
 from keelgap_agent.packets.registrar import Registrar
-from keelgap_agent.packets.scheduling.work import Workload
+from keelgap_agent.packets.scheduling.workload import Workload
 from keelgap_agent.packets.service_time import ServiceTimeEstimator
 from keelgap_agent.packets.warm_up_limiter import WarmUpLimiter
 
--- a/tests/packets/test_ejection.py
+++ b/tests/packets/test_ejection.py
@@ -7,8 +7,8 @@
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap.packets.features import NO_FEATURES
 from keelgap_agent.packets.flows import Flow
-from keelgap_agent.packets.outcomes import defaults
-from keelgap_agent.packets.outcomes.ejection import Ejection
+from keelgap_agent.packets.outlier_ejection import defaults
+from keelgap_agent.packets.outlier_ejection.ejection import Ejection
 from tests.packets.building import (
     ACK,
     FORMAT,
--- a/tests/packets/test_ejection_bounds.py
+++ b/tests/packets/test_ejection_bounds.py
@@ -4,7 +4,7 @@
 from unittest import TestCase, mock
 
 from keelgap.packets.envelopes import EnvelopeKind
-from keelgap_agent.packets.outcomes import defaults as agent_defaults
+from keelgap_agent.packets.outlier_ejection import defaults as agent_defaults
 from keelgap_balancer.packets import defaults, ejection
 from keelgap_balancer.packets.ejection import find_excluded
 from keelgap_balancer.packets.state import PacketState
--- a/tests/packets/test_ejection_oracle.py
+++ b/tests/packets/test_ejection_oracle.py
@@ -11,7 +11,7 @@
 from keelgap.packets.envelopes import Envelope, EnvelopeKind
 from keelgap.packets.features import Features
 from keelgap_agent.packets.events import EnvelopeArrived
-from keelgap_agent.packets.outcomes import defaults, giving_up
+from keelgap_agent.packets.outlier_ejection import abandonment, defaults
 from keelgap_agent.packets.state import AgentState
 from keelgap_balancer.packets.caller_waits import CallerWaits
 from tests.fuzzing import run_machine
@@ -257,7 +257,9 @@
 
     def test_a_reset_of_another_upstreams_flow_is_found(self) -> None:
         """A fuzzer that cannot fail proves nothing."""
-        patch = mock.patch.object(giving_up, 'acknowledges_upstream', reset_any)
+        patch = mock.patch.object(
+            abandonment, 'acknowledges_upstream', reset_any
+        )
         with patch, self.assertRaises(AssertionError):
             run_machine(EjectingMachine, 400, STEPS, shrink=False)
 
@@ -269,6 +271,6 @@
 
     def test_a_late_packet_of_a_flow_given_up_is_found(self) -> None:
         """The same, for requests that run after all."""
-        patch = mock.patch.object(giving_up, '_abandon', forget_given_up)
+        patch = mock.patch.object(abandonment, '_abandon', forget_given_up)
         with patch, self.assertRaisesRegex(AssertionError, 'after a reset'):
             run_machine(EjectingMachine, 400, STEPS, shrink=False)
