--- a/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
@@ -21,7 +21,7 @@
 
 from keelgap.packets.envelopes import OPENING_KINDS, EnvelopeKind
 from keelgap.packets.formats import ENDS_FLOW
-from keelgap.packets.openings import OPEN_TIMEOUT_SECONDS
+from keelgap.packets.retransmission import OPEN_TIMEOUT_SECONDS
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.capacity import (
     NO_TIME,
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
@@ -14,7 +14,7 @@
     unpack_registration,
 )
 from keelgap.packets.envelopes import EnvelopeKind
-from keelgap.runtime.lines import MAX_LISTED
+from keelgap.runtime.json_log import MAX_LISTED
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.effects import AgentEffect, Decided
 from keelgap_agent.packets.events import EnvelopeArrived
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
@@ -8,7 +8,7 @@
 from keelgap.packets.directory_messages import (
     Registration,
 )
-from keelgap.packets.generations import GenerationalCache
+from keelgap.packets.generational_cache import GenerationalCache
 from keelgap_agent.packets import defaults
 
 __all__ = ('CoverageChange', 'DirectoryNode', 'RegisteredAgent')
--- a/packages/keelgap-agent/src/keelgap_agent/packets/pending_openings.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/pending_openings.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from keelgap.packets.envelopes import CallerWait, EnvelopeKind
-from keelgap.packets.openings import OPEN_TIMEOUT_SECONDS
+from keelgap.packets.retransmission import OPEN_TIMEOUT_SECONDS
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.admission import admit_opening
 from keelgap_agent.packets.effects import AgentEffect, Decided
--- a/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
@@ -17,7 +17,7 @@
 )
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap.packets.notices import UpstreamNotice
-from keelgap.runtime.lines import MAX_LISTED
+from keelgap.runtime.json_log import MAX_LISTED
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.effects import AgentEffect, Decided, SendToPeer
 from keelgap_agent.packets.events import EnvelopeArrived
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/ages.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/ages.py
@@ -12,8 +12,11 @@
 
 from keelgap.catalog.models import PacketRoute
 from keelgap.packets.envelopes import CallerWait
-from keelgap.packets.openings import OPEN_TIMEOUT_SECONDS, estimate_open_wait
 from keelgap.packets.refusals import RefusedCaller
+from keelgap.packets.retransmission import (
+    OPEN_TIMEOUT_SECONDS,
+    estimate_open_wait,
+)
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.shares import CallerShares
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from keelgap.catalog import defaults as catalog_defaults
-from keelgap.packets import openings, trials
+from keelgap.packets import retransmission, trials
 
 __all__ = (
     'ANY_TRIAL_SECONDS',
@@ -110,7 +110,9 @@
 TRANSIT_JITTER_SECONDS: Final = 0.05
 
 #: A caller has abandoned an opening that began this long ago.
-ABANDON_SECONDS: Final = openings.OPEN_TIMEOUT_SECONDS - TRANSIT_JITTER_SECONDS
+ABANDON_SECONDS: Final = (
+    retransmission.OPEN_TIMEOUT_SECONDS - TRANSIT_JITTER_SECONDS
+)
 
 #: How long after that a new flow of the caller is taken for its retry.
 RETRY_WINDOW_SECONDS: Final = 1.0
@@ -179,7 +181,7 @@
 #: Period after the first catalog in which a caller that is new to this process
 #: may have tried before.  Its first attempt ends within one opening timeout,
 #: and its second arrives within another.
-SETTLING_SECONDS: Final = 2 * openings.OPEN_TIMEOUT_SECONDS
+SETTLING_SECONDS: Final = 2 * retransmission.OPEN_TIMEOUT_SECONDS
 
 #: A search without a result expires after this, and may start anew.
 SEARCH_TIMEOUT_SECONDS: Final = 1.0
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/giving_up.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/giving_up.py
@@ -1,7 +1,7 @@
 """Expiry of searches that find no result in time."""
 
 from keelgap.packets.directory import REPLICAS
-from keelgap.runtime.lines import MAX_LISTED
+from keelgap.runtime.json_log import MAX_LISTED
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import Decided, PacketEffect
 from keelgap_balancer.packets.searches import FlowSearch
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
@@ -13,7 +13,7 @@
     pack_envelope,
 )
 from keelgap.packets.process import PacketProcess
-from keelgap.runtime.lines import MAX_LISTED
+from keelgap.runtime.json_log import MAX_LISTED
 from keelgap.sockets import send_datagram
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.balancer_infos import BalancerInfoTable
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/inheriting.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/inheriting.py
@@ -9,7 +9,7 @@
 
 from keelgap.packets.envelopes import Envelope, EnvelopeKind
 from keelgap.packets.exceptions import MalformedEnvelope
-from keelgap.packets.served import (
+from keelgap.packets.served_hosts import (
     MAX_SERVED_HOSTS,
     ServedHost,
     ServedHostsRequest,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/membership.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/membership.py
@@ -5,7 +5,7 @@
     PacketUpstream,
     UpstreamIdentity,
 )
-from keelgap.runtime.lines import MAX_LISTED
+from keelgap.runtime.json_log import MAX_LISTED
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.directories import rebuild_directories
 from keelgap_balancer.packets.effects import Decided, PacketEffect
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
@@ -12,7 +12,7 @@
 from keelgap.packets.envelopes import Stamp
 from keelgap.packets.features import NO_FEATURES, Features
 from keelgap.packets.formats import PacketFormat
-from keelgap.packets.generations import GenerationalCache
+from keelgap.packets.generational_cache import GenerationalCache
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.caller_waits import CallerWaits
 from keelgap_balancer.packets.latency_placement.memory import PlacementState
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/verdicts.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/verdicts.py
@@ -7,7 +7,7 @@
 
 from keelgap.catalog.models import PacketRoute
 from keelgap.packets.directory import choose_nodes
-from keelgap.runtime.lines import MAX_LISTED
+from keelgap.runtime.json_log import MAX_LISTED
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.effects import (
     Decided,
--- a/packages/keelgap/src/keelgap/catalog/builder.py
+++ b/packages/keelgap/src/keelgap/catalog/builder.py
@@ -18,7 +18,7 @@
     PacketUpstream,
     RouteSet,
 )
-from keelgap.catalog.starts import UpstreamTable
+from keelgap.catalog.upstream_table import UpstreamTable
 
 __all__ = ('CatalogBuilder', 'Decoders', 'EntryFault')
 
--- a/packages/keelgap/src/keelgap/catalog/driver.py
+++ b/packages/keelgap/src/keelgap/catalog/driver.py
@@ -33,7 +33,7 @@
 from keelgap.catalog.models import Catalog
 from keelgap.catalog.state import FollowerState
 from keelgap.runtime.http import HttpClient, HttpResponse
-from keelgap.runtime.lines import MAX_LISTED, JsonLog
+from keelgap.runtime.json_log import MAX_LISTED, JsonLog
 from keelgap.runtime.loop import EventLoop
 from keelgap.runtime.pages import Page
 
--- a/packages/keelgap/src/keelgap/packets/directory_messages.py
+++ b/packages/keelgap/src/keelgap/packets/directory_messages.py
@@ -6,14 +6,14 @@
 from typing import Final, NamedTuple
 
 from keelgap.packets.directory import digest_hosts
-from keelgap.packets.formats import FLOW_KEY_LENGTH
-from keelgap.packets.octets import (
+from keelgap.packets.encoding import (
     HOST_LENGTH,
     pack_hosts,
     split_records,
     unpack_header,
     unpack_hosts,
 )
+from keelgap.packets.formats import FLOW_KEY_LENGTH
 
 __all__ = (
     'MAX_KEYS_PER_MESSAGE',
--- a/packages/keelgap/src/keelgap/packets/notices.py
+++ b/packages/keelgap/src/keelgap/packets/notices.py
@@ -13,8 +13,8 @@
 from typing import Final, NamedTuple
 
 from keelgap.packets.directory import REPLICAS, FlowDirectory
+from keelgap.packets.encoding import pack_hosts, unpack_header, unpack_hosts
 from keelgap.packets.exceptions import MalformedEnvelope
-from keelgap.packets.octets import pack_hosts, unpack_header, unpack_hosts
 
 __all__ = ('UpstreamNotice', 'pack_notice', 'unpack_notice')
 
--- a/packages/keelgap/src/keelgap/packets/process.py
+++ b/packages/keelgap/src/keelgap/packets/process.py
@@ -18,7 +18,7 @@
     make_metrics_page,
 )
 from keelgap.packets.reload import SettingsWatcher
-from keelgap.runtime.lines import JsonLog
+from keelgap.runtime.json_log import JsonLog
 from keelgap.runtime.loop import EventLoop
 from keelgap.runtime.pages import serve_pages
 
--- a/packages/keelgap/src/keelgap/packets/reload.py
+++ b/packages/keelgap/src/keelgap/packets/reload.py
@@ -6,7 +6,7 @@
 
 from keelgap.conf import load_settings
 from keelgap.exceptions import KeelgapError
-from keelgap.runtime.lines import JsonLog
+from keelgap.runtime.json_log import JsonLog
 from keelgap.runtime.loop import EventLoop
 
 __all__ = ('SettingsWatcher',)
--- a/packages/keelgap/src/keelgap/packets/served.py
+++ b/packages/keelgap/src/keelgap/packets/served_hosts.py
@@ -15,8 +15,8 @@
 
 from xxhash import xxh3_64_intdigest
 
+from keelgap.packets.encoding import unpack_header
 from keelgap.packets.exceptions import MalformedEnvelope
-from keelgap.packets.octets import unpack_header
 
 __all__ = (
     'MAX_SERVED_HOSTS',
--- a/tests/keelgap/test_builder.py
+++ b/tests/keelgap/test_builder.py
@@ -12,7 +12,7 @@
     RouteSet,
     ServiceLimits,
 )
-from keelgap.catalog.starts import (
+from keelgap.catalog.upstream_table import (
     MAX_REFUSED_REPORTS,
     MAX_REMEMBERED_IDS,
     UpstreamTable,
--- a/tests/keelgap/test_runtime.py
+++ b/tests/keelgap/test_runtime.py
@@ -11,14 +11,14 @@
 from hypothesis import strategies as st
 
 from keelgap.addresses import Address
-from keelgap.runtime import lines as lines_module
+from keelgap.runtime import json_log as lines_module
 from keelgap.runtime.http import (
     HttpClient,
     HttpResponse,
     MalformedResponse,
     parse_response,
 )
-from keelgap.runtime.lines import JsonLog
+from keelgap.runtime.json_log import JsonLog
 from keelgap.runtime.loop import EventLoop
 from keelgap.runtime.pages import Page, serve_pages
 
--- a/tests/packets/test_after_outage.py
+++ b/tests/packets/test_after_outage.py
@@ -12,7 +12,7 @@
     pack_envelope,
     unpack_envelope,
 )
-from keelgap.packets.openings import OPEN_TIMEOUT_SECONDS
+from keelgap.packets.retransmission import OPEN_TIMEOUT_SECONDS
 from keelgap_agent.packets import defaults as agent_defaults
 from keelgap_agent.packets.effects import SendToUpstream
 from keelgap_balancer.packets import defaults
--- a/tests/packets/test_inheriting.py
+++ b/tests/packets/test_inheriting.py
@@ -10,7 +10,7 @@
     compute_service_tag,
 )
 from keelgap.packets.exceptions import MalformedEnvelope
-from keelgap.packets.served import (
+from keelgap.packets.served_hosts import (
     MAX_SERVED_HOSTS,
     ServedHost,
     ServedHostsRequest,
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -18,7 +18,7 @@
     EnvelopeKind,
     Stamp,
 )
-from keelgap.packets.openings import OPEN_TIMEOUT_SECONDS
+from keelgap.packets.retransmission import OPEN_TIMEOUT_SECONDS
 from keelgap_agent.packets import defaults as agent_defaults
 from keelgap_agent.packets.events import TimerFired as AgentTimerFired
 from keelgap_balancer.packets import defaults
--- a/tests/packets/test_untold.py
+++ b/tests/packets/test_untold.py
@@ -9,7 +9,7 @@
     compute_service_tag,
 )
 from keelgap.packets.notices import pack_notice
-from keelgap.packets.openings import OPEN_TIMEOUT_SECONDS
+from keelgap.packets.retransmission import OPEN_TIMEOUT_SECONDS
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.effects import Decided, SendToPeer, SendToUpstream
 from keelgap_agent.packets.events import (
