--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/candidates.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/candidates.py
@@ -8,7 +8,7 @@
 
 from keelgap_balancer.packets.ejection import find_excluded
 from keelgap_balancer.packets.latency_placement import defaults
-from keelgap_balancer.packets.latency_placement.memory import SamplingOrder
+from keelgap_balancer.packets.latency_placement.state import SamplingOrder
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.views import AgentView
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placing/delays.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/costs.py
@@ -14,7 +14,7 @@
 
 from keelgap_balancer.packets.defaults import WARM_UP_SLOT_SHARE
 from keelgap_balancer.packets.latency_placement import defaults
-from keelgap_balancer.packets.latency_placement.memory import CrossZoneCosts
+from keelgap_balancer.packets.latency_placement.state import CrossZoneCosts
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.views import AgentView
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/openings.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/openings.py
@@ -24,7 +24,9 @@
     choose_envelope_kind,
     choose_trial_upstream,
 )
-from keelgap_balancer.packets.latency_placement.notes import record_placement
+from keelgap_balancer.packets.latency_placement.recording import (
+    record_placement,
+)
 from keelgap_balancer.packets.parking import park
 from keelgap_balancer.packets.placement import choose_agent, choose_service
 from keelgap_balancer.packets.refusals import record_refusal
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placement.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placement.py
@@ -11,7 +11,7 @@
 from keelgap_balancer.packets.latency_placement.candidates import (
     list_candidates,
 )
-from keelgap_balancer.packets.latency_placement.delays import (
+from keelgap_balancer.packets.latency_placement.costs import (
     choose_fastest_agent,
     measure_imbalance,
 )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
@@ -12,6 +12,11 @@
 from keelgap.packets.exceptions import MalformedEnvelope
 from keelgap.packets.formats import ENDS_FLOW, FLOW_KEY_LENGTH, Flags
 from keelgap_balancer.packets import defaults
+from keelgap_balancer.packets.catalog_changes import (
+    change_catalog,
+    forget_former_routes,
+    forget_gone,
+)
 from keelgap_balancer.packets.effects import (
     Decided,
     Observed,
@@ -39,11 +44,6 @@
     handle_served_hosts,
     query_peer,
 )
-from keelgap_balancer.packets.membership import (
-    change_catalog,
-    forget_former_routes,
-    forget_gone,
-)
 from keelgap_balancer.packets.notices import make_notice
 from keelgap_balancer.packets.openings import (
     OpeningPacket,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/rotation.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/rotation.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.places import BalancerInfo
+from keelgap_balancer.packets.balancer_infos import BalancerInfo
 
 __all__ = ('Rotation', 'has_slow_link')
 
--- a/tests/packets/test_lapse_oracle.py
+++ b/tests/packets/test_lapse_oracle.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import rule
 
-from keelgap_balancer.packets import defaults, membership
+from keelgap_balancer.packets import catalog_changes, defaults
 from tests.fuzzing import run_machine
 from tests.packets.machine import BALANCERS, LATER_HOSTS, PacketMachine
 
@@ -74,6 +74,8 @@
 
     def test_a_balancer_without_history_is_found(self) -> None:
         """A fuzzer that cannot fail proves nothing."""
-        patch = mock.patch.object(membership, '_add_missed', take_no_missed)
+        patch = mock.patch.object(
+            catalog_changes, '_add_missed', take_no_missed
+        )
         with patch, self.assertRaisesRegex(AssertionError, 'living flow'):
             run_machine(LapsingMachine, 400, STEPS, shrink=False)
--- a/tests/packets/test_oracle.py
+++ b/tests/packets/test_oracle.py
@@ -7,7 +7,7 @@
 from keelgap_agent.packets import reducer as agent_reducer
 from keelgap_agent.packets.flows import Flow
 from keelgap_agent.packets.state import AgentState
-from keelgap_balancer.packets import asking, membership, search, verdicts
+from keelgap_balancer.packets import asking, catalog_changes, search, verdicts
 from keelgap_balancer.packets import reducer as balancer_reducer
 from keelgap_balancer.packets.state import PacketState
 from tests.fuzzing import run_machine
@@ -91,7 +91,7 @@
     for upstream_id in missing:
         state.agents.pop(upstream_id)
         state.missing.discard(upstream_id)
-    membership._rebuild_indexes(state)  # noqa: WPS437
+    catalog_changes._rebuild_indexes(state)  # noqa: WPS437
 
 
 def pass_any_service(state: Any, event: Any) -> Any:
--- a/tests/packets/test_rotation.py
+++ b/tests/packets/test_rotation.py
@@ -10,7 +10,10 @@
 from unittest import TestCase
 
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.places import BalancerInfo, BalancerInfoTable
+from keelgap_balancer.packets.balancer_infos import (
+    BalancerInfo,
+    BalancerInfoTable,
+)
 from keelgap_balancer.packets.rotation import Rotation, has_slow_link
 
 ZONE = 1
