--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
@@ -5,9 +5,9 @@
 from keelgap.catalog.models import PacketRoute
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.caller_waits import get_caller_host
+from keelgap_balancer.packets.fair_shares import Queue
+from keelgap_balancer.packets.flow_search import FlowSearch
 from keelgap_balancer.packets.placement import choose_service
-from keelgap_balancer.packets.searches import FlowSearch
-from keelgap_balancer.packets.shares import Queue
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.views import AgentView
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/caller_waits.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/caller_waits.py
@@ -18,7 +18,7 @@
     estimate_open_wait,
 )
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.shares import CallerShares
+from keelgap_balancer.packets.fair_shares import CallerShares
 
 __all__ = ('CallerWaits', 'WaitEstimate', 'get_caller_host', 'make_caller_wait')
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/catalog_changes.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/catalog_changes.py
@@ -7,11 +7,11 @@
 )
 from keelgap.runtime.json_log import MAX_LISTED
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.directories import rebuild_directories
+from keelgap_balancer.packets.directory_client import rebuild_directories
 from keelgap_balancer.packets.effects import Decided, PacketEffect
 from keelgap_balancer.packets.notices import notify_zones
 from keelgap_balancer.packets.state import FormerRoute, PacketState
-from keelgap_balancer.packets.unlisted import record_displaced
+from keelgap_balancer.packets.unlisted_agents import record_displaced
 from keelgap_balancer.packets.views import AgentView
 
 __all__ = ('change_catalog', 'forget_former_routes', 'forget_gone')
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/verdicts.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/dead_flows.py
@@ -15,9 +15,9 @@
     RefreshCatalog,
     SendReset,
 )
-from keelgap_balancer.packets.searches import FlowSearch
+from keelgap_balancer.packets.flow_search import FlowSearch
 from keelgap_balancer.packets.state import PacketState
-from keelgap_balancer.packets.unlisted import find_agent, list_unlisted
+from keelgap_balancer.packets.unlisted_agents import find_agent, list_unlisted
 from keelgap_balancer.packets.views import AgentView
 
 __all__ = (
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/openings.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/flow_opening.py
@@ -24,13 +24,13 @@
     choose_envelope_kind,
     choose_trial_upstream,
 )
+from keelgap_balancer.packets.flow_search import FlowSearch
 from keelgap_balancer.packets.latency_placement.recording import (
     record_placement,
 )
 from keelgap_balancer.packets.parking import park
 from keelgap_balancer.packets.placement import choose_agent, choose_service
 from keelgap_balancer.packets.refusals import record_refusal
-from keelgap_balancer.packets.searches import FlowSearch
 from keelgap_balancer.packets.state import PacketState
 from keelgap_balancer.packets.views import AgentView
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/asking.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_queries.py
@@ -6,11 +6,11 @@
 from keelgap.packets.directory import REPLICAS
 from keelgap.packets.envelopes import EnvelopeKind
 from keelgap_balancer.packets import defaults
+from keelgap_balancer.packets.dead_flows import list_possible_owners
 from keelgap_balancer.packets.effects import Decided, PacketEffect
-from keelgap_balancer.packets.searches import FlowSearch
+from keelgap_balancer.packets.flow_search import FlowSearch
 from keelgap_balancer.packets.state import PacketState
-from keelgap_balancer.packets.unlisted import find_agent
-from keelgap_balancer.packets.verdicts import list_possible_owners
+from keelgap_balancer.packets.unlisted_agents import find_agent
 from keelgap_balancer.packets.views import AgentView
 
 __all__ = ('send_query', 'query_host', 'query_candidates')
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/search.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_search.py
@@ -11,12 +11,13 @@
 
 from keelgap.catalog.models import PacketRoute
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.asking import (
-    query_candidates,
-    query_host,
-    send_query,
+from keelgap_balancer.packets.dead_flows import (
+    conclude_search,
+    list_directory_nodes,
+    list_route_agents,
+    list_unknown_hosts,
 )
-from keelgap_balancer.packets.directories import (
+from keelgap_balancer.packets.directory_client import (
     handle_coverage,
     handle_lookup_answer,
     notify_uncovered,
@@ -28,14 +29,13 @@
     RefreshCatalog,
 )
 from keelgap_balancer.packets.events import EnvelopeArrived
-from keelgap_balancer.packets.searches import FlowSearch
-from keelgap_balancer.packets.state import PacketState
-from keelgap_balancer.packets.verdicts import (
-    conclude_search,
-    list_directory_nodes,
-    list_route_agents,
-    list_unknown_hosts,
+from keelgap_balancer.packets.flow_search import FlowSearch
+from keelgap_balancer.packets.owner_queries import (
+    query_candidates,
+    query_host,
+    send_query,
 )
+from keelgap_balancer.packets.state import PacketState
 
 __all__ = (
     'continue_search',
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/inheriting.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/peer_bootstrap.py
@@ -27,7 +27,7 @@
 )
 from keelgap_balancer.packets.events import EnvelopeArrived
 from keelgap_balancer.packets.state import PacketState
-from keelgap_balancer.packets.unlisted import record_service
+from keelgap_balancer.packets.unlisted_agents import record_service
 
 __all__ = ('answer_peer_query', 'query_peer', 'handle_served_hosts')
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
@@ -17,6 +17,7 @@
     forget_former_routes,
     forget_gone,
 )
+from keelgap_balancer.packets.dead_flows import serves_route
 from keelgap_balancer.packets.effects import (
     Decided,
     Observed,
@@ -36,39 +37,41 @@
     StorePolled,
     TimerFired,
 )
-from keelgap_balancer.packets.forwards import forward
-from keelgap_balancer.packets.giving_up import expire_searches
-from keelgap_balancer.packets.greeting import poll_agents
-from keelgap_balancer.packets.inheriting import (
-    answer_peer_query,
-    handle_served_hosts,
-    query_peer,
-)
-from keelgap_balancer.packets.notices import make_notice
-from keelgap_balancer.packets.openings import (
+from keelgap_balancer.packets.flow_opening import (
     OpeningPacket,
     open_flow,
     reoffer_flow,
 )
-from keelgap_balancer.packets.parking import drain_parked, park
-from keelgap_balancer.packets.refusals import broadcast_refused, handle_refused
-from keelgap_balancer.packets.search import (
+from keelgap_balancer.packets.flow_search import FlowSearch
+from keelgap_balancer.packets.forwarding import forward
+from keelgap_balancer.packets.notices import make_notice
+from keelgap_balancer.packets.owner_search import (
     continue_search,
     handle_covered,
     handle_found,
     search_for_owner,
     skip_unresponsive,
 )
-from keelgap_balancer.packets.searches import FlowSearch
+from keelgap_balancer.packets.parking import drain_parked, park
+from keelgap_balancer.packets.peer_bootstrap import (
+    answer_peer_query,
+    handle_served_hosts,
+    query_peer,
+)
+from keelgap_balancer.packets.refusals import broadcast_refused, handle_refused
+from keelgap_balancer.packets.report_polling import poll_agents
+from keelgap_balancer.packets.search_expiry import expire_searches
 from keelgap_balancer.packets.state import PacketState
-from keelgap_balancer.packets.unlisted import expire_unlisted, find_sender
-from keelgap_balancer.packets.verdicts import serves_route
-from keelgap_balancer.packets.views import AgentView
-from keelgap_balancer.packets.waiting import (
+from keelgap_balancer.packets.suspended_searches import (
     resume_awaiting_catalog,
     resume_awaiting_entries,
     retry_lookups,
 )
+from keelgap_balancer.packets.unlisted_agents import (
+    expire_unlisted,
+    find_sender,
+)
+from keelgap_balancer.packets.views import AgentView
 
 __all__ = ('reduce',)
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/giving_up.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/search_expiry.py
@@ -3,13 +3,13 @@
 from keelgap.packets.directory import REPLICAS
 from keelgap.runtime.json_log import MAX_LISTED
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.effects import Decided, PacketEffect
-from keelgap_balancer.packets.searches import FlowSearch
-from keelgap_balancer.packets.state import PacketState
-from keelgap_balancer.packets.verdicts import (
+from keelgap_balancer.packets.dead_flows import (
     list_directory_nodes,
     list_possible_owners,
 )
+from keelgap_balancer.packets.effects import Decided, PacketEffect
+from keelgap_balancer.packets.flow_search import FlowSearch
+from keelgap_balancer.packets.state import PacketState
 
 __all__ = ('expire_searches',)
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
@@ -15,8 +15,8 @@
 from keelgap.packets.generational_cache import GenerationalCache
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.caller_waits import CallerWaits
+from keelgap_balancer.packets.flow_search import FlowSearch
 from keelgap_balancer.packets.latency_placement.state import PlacementState
-from keelgap_balancer.packets.searches import FlowSearch
 from keelgap_balancer.packets.views import AgentView, DirectoryNodeView
 
 __all__ = (
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/waiting.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/suspended_searches.py
@@ -8,10 +8,10 @@
 """
 
 from keelgap_balancer.packets import defaults
-from keelgap_balancer.packets.directories import send_queued_lookups
+from keelgap_balancer.packets.directory_client import send_queued_lookups
 from keelgap_balancer.packets.effects import PacketEffect
-from keelgap_balancer.packets.search import resume_search
-from keelgap_balancer.packets.searches import FlowSearch
+from keelgap_balancer.packets.flow_search import FlowSearch
+from keelgap_balancer.packets.owner_search import resume_search
 from keelgap_balancer.packets.state import PacketState
 
 __all__ = (
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -24,7 +24,7 @@
     SendToBalancers,
 )
 from keelgap_balancer.packets.events import EnvelopeArrived, TimerFired
-from keelgap_balancer.packets.shares import CallerShares, Queue
+from keelgap_balancer.packets.fair_shares import CallerShares, Queue
 from tests.packets.building import (
     BOARD,
     PROOF,
--- a/tests/packets/test_directory_oracle.py
+++ b/tests/packets/test_directory_oracle.py
@@ -4,7 +4,7 @@
 from unittest import TestCase, mock
 
 from keelgap_agent.packets import notices, registration
-from keelgap_balancer.packets import verdicts
+from keelgap_balancer.packets import dead_flows
 from tests.fuzzing import run_machine
 from tests.packets.directory_machine import (
     DirectoryMachine,
@@ -37,12 +37,12 @@
 
 
 record_upstream = registration.record_upstream
-list_unspoken = verdicts._list_uncovered  # noqa: WPS437
+list_unspoken = dead_flows._list_uncovered  # noqa: WPS437
 begin_stream = registration._begin_stream  # noqa: WPS437
 
 DELIBERATE_FAULTS = {
     'a node that speaks for everybody': (
-        verdicts,
+        dead_flows,
         '_list_uncovered',
         speak_for_all,
     ),
--- a/tests/packets/test_given_back.py
+++ b/tests/packets/test_given_back.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import rule
 
-from keelgap_balancer.packets.searches import FlowSearch
+from keelgap_balancer.packets.flow_search import FlowSearch
 from tests.fuzzing import run_machine
 from tests.packets.building import ACK, BOARD, SYN, FlowName, make_packet
 from tests.packets.machine import BALANCERS, PacketMachine
--- a/tests/packets/test_oracle.py
+++ b/tests/packets/test_oracle.py
@@ -7,7 +7,12 @@
 from keelgap_agent.packets import reducer as agent_reducer
 from keelgap_agent.packets.flows import Flow
 from keelgap_agent.packets.state import AgentState
-from keelgap_balancer.packets import asking, catalog_changes, search, verdicts
+from keelgap_balancer.packets import (
+    catalog_changes,
+    dead_flows,
+    owner_queries,
+    owner_search,
+)
 from keelgap_balancer.packets import reducer as balancer_reducer
 from keelgap_balancer.packets.state import PacketState
 from tests.fuzzing import run_machine
@@ -26,7 +31,7 @@
     """Stand in for a search that takes silence for a no."""
     route = state.find_route(found.latest_packet)
     key = state.format.caller_key(found.latest_packet)
-    return verdicts.conclude_search(state, route, found, key, now)
+    return dead_flows.conclude_search(state, route, found, key, now)
 
 
 def judge_without_asking(state: Any, now: float) -> Any:
@@ -53,7 +58,7 @@
     """Stand in for a verdict that needs no change heard after the denials."""
     heard = state.latest_change
     state.latest_change = found.required_revision or heard
-    effects = verdicts.conclude_search(state, route, found, key, now)
+    effects = dead_flows.conclude_search(state, route, found, key, now)
     state.latest_change = heard
     return effects
 
@@ -77,7 +82,9 @@
         found = state.searches[key]
         found.resume(now)
         route = state.find_route(found.latest_packet)
-        effects.extend(verdicts.conclude_search(state, route, found, key, now))
+        effects.extend(
+            dead_flows.conclude_search(state, route, found, key, now)
+        )
     return tuple(effects)
 
 
@@ -133,7 +140,11 @@
 
 
 DELIBERATE_FAULTS = {
-    'silence that counts as a no': (asking, '_query_again', ask_only_once),
+    'silence that counts as a no': (
+        owner_queries,
+        '_query_again',
+        ask_only_once,
+    ),
     'an upstream forgotten with its entry': (
         balancer_reducer,
         'forget_gone',
@@ -152,7 +163,7 @@
         judge_without_asking,
     ),
     'a mark that is frozen at the denials': (
-        search,
+        owner_search,
         'conclude_search',
         judge_by_frozen_mark,
     ),
