--- a/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
@@ -37,7 +37,7 @@
 from keelgap_agent.packets.outlier_ejection.abandonment import reset_queued_flow
 from keelgap_agent.packets.outlier_ejection.detection import (
     record_opening,
-    record_work,
+    record_request_data,
 )
 from keelgap_agent.packets.outlier_ejection.refusal import find_ejection_refusal
 from keelgap_agent.packets.refusals import find_refusal
@@ -169,7 +169,7 @@
         event = request.packets[sequence]
         datagram = event.envelope.content
         state.record_data(flow, sequence, now)
-        record_work(state, key, flow, datagram, now)
+        record_request_data(state, key, flow, datagram, now)
         effects.append(state.forward_to_upstream(event.sender, event.envelope))
         effects.extend(log_request_started(state, key, flow, datagram, now))
     return (*effects, *observe_wait(state, request, now))
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
@@ -23,7 +23,7 @@
     'detect_timeouts',
     'record_opening',
     'record_opening_reply',
-    'record_work',
+    'record_request_data',
 )
 
 Effects = tuple[AgentEffect, ...]
@@ -49,7 +49,7 @@
         state.outcomes.unanswered_openings[key] = event
 
 
-def record_work(
+def record_request_data(
     state: AgentState,
     key: bytes,
     flow: Flow,
--- a/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
@@ -45,7 +45,7 @@
     detect_timeouts,
     record_opening_reply,
     record_packet_outcome,
-    record_work,
+    record_request_data,
 )
 from keelgap_agent.packets.outlier_ejection.reports import (
     make_report_to,
@@ -226,7 +226,7 @@
     if state.format.data_length(datagram):
         sequence = state.format.sequence(datagram)
         if state.record_data(flow, sequence, now):
-            record_work(state, key, flow, datagram, now)
+            record_request_data(state, key, flow, datagram, now)
             return log_request_started(state, key, flow, datagram, now)
     return ()
 
@@ -284,7 +284,7 @@
     classified = record_packet_outcome(state, key, flow, datagram, now)
     flags = state.format.flags(datagram)
     if state.format.data_length(datagram):
-        state.record_work(flow, datagram, now)
+        state.record_service_time(flow, datagram, now)
         state.end_request(flow, now)
         answered = log_request_answered(state, key, flow, datagram, now)
     if flags & ENDS_FLOW:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/state.py
@@ -224,7 +224,9 @@
         self.cancel_request(flow)
         self.capacity.record_response(now, is_full=self.busy >= self.slots)
 
-    def record_work(self, flow: Flow, datagram: bytes, now: float) -> None:
+    def record_service_time(
+        self, flow: Flow, datagram: bytes, now: float
+    ) -> None:
         """Update the service time from an answer that is not an error."""
         if not self.features.placement or flow.busy_since is None:
             return
