--- a/experiments/membership_model.py
+++ b/experiments/membership_model.py
@@ -114,8 +114,8 @@
                 is_round=True,
             )
             for place, other in enumerate(receivers):
-                should_probe = peers.should_probe(other, place)
-                wants_reply = should_probe and peers.start_probe(other, now)
+                may_probe = peers.should_probe(other, place)
+                wants_reply = may_probe and peers.start_probe(other, now)
                 self._send(host, peers, other, wants_reply=wants_reply)
         pause = defaults.GOSSIP_INTERVAL_SECONDS
         self.clock.later(now + pause, lambda: self._fire(host, peers))
--- a/experiments/placing_model.py
+++ b/experiments/placing_model.py
@@ -107,7 +107,7 @@
         self.running = 0
         self.flows = 0
         self.worked: float = 0
-        self.pace = ServiceTimeEstimator()
+        self.service_time = ServiceTimeEstimator()
         self.answer_seconds: float = 0
         self.owed: set[int] = set()
         self.told: tuple[LoadReport, float] | None = None
@@ -129,7 +129,7 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.count = 0
         self.upstreams = self._make_upstreams()
-        self.agents_by_host = {one.host: one for one in self.upstreams}
+        self.upstreams_by_host = {one.host: one for one in self.upstreams}
         self.balancers = self._make_balancers(features)
         self.late = [0] * pattern.zones
         self.asked = [0] * pattern.zones
@@ -180,7 +180,7 @@
         key = FORMAT.caller_key(packet)
         host = self.offer(balancer, packet)
         self.placed += 1
-        self.far += self.agents_by_host[host].zone != zone
+        self.far += self.upstreams_by_host[host].zone != zone
         self.decisions.append((balancer, key, host))
         return balancer, self.port, host
 
@@ -189,7 +189,7 @@
         event = CallerPacket(self.now, packet)
         _, effects = reduce(self.balancers[balancer], event)
         sent = next(one for one in effects if isinstance(one, SendToAgent))
-        self.agents_by_host[sent.host].owed.add(balancer)
+        self.upstreams_by_host[sent.host].owed.add(balancer)
         return sent.host
 
     def serve(
@@ -224,7 +224,7 @@
         taken = self.now - request.came
         self.late[request.zone] += taken > self.pattern.target_seconds
         self.taken.append(taken)
-        upstream.pace.record(taken, request.before, self.pattern.slots)
+        upstream.service_time.record(taken, request.before, self.pattern.slots)
         weight = ANSWER_TIME_WEIGHT if upstream.answer_seconds else 1
         upstream.answer_seconds += weight * (taken - upstream.answer_seconds)
         self._start(upstream)
@@ -239,7 +239,7 @@
     def _open_brief(self, zone: int) -> None:
         self._next_brief(zone)
         balancer, number, host = self.place(zone, BRIEF)
-        upstream = self.agents_by_host[host]
+        upstream = self.upstreams_by_host[host]
         upstream.flows += 1
 
         def end(taken: float) -> None:
@@ -251,7 +251,7 @@
 
     def _live_long(self, zone: int) -> None:
         _, _, host = self.place(zone, LONG)
-        upstream = self.agents_by_host[host]
+        upstream = self.upstreams_by_host[host]
         upstream.flows += 1
         span = self.random.expovariate(1 / self.pattern.long_seconds)
         ends = self.now + span
@@ -286,7 +286,7 @@
             self._tell_balancers(upstream, report, is_due=is_due)
 
     def _make_report(self, upstream: Upstream) -> LoadReport:
-        work_ms = upstream.pace.milliseconds
+        work_ms = upstream.service_time.milliseconds
         return LoadReport(
             upstream.busy,
             upstream.flows,
--- a/experiments/readers_model.py
+++ b/experiments/readers_model.py
@@ -74,10 +74,8 @@
         is_reader = node.readers.is_reader
         receivers = node.peers.select_receivers(is_reader=is_reader)
         for place, host in enumerate(receivers):
-            should_probe = node.peers.should_probe(host, place)
-            wants_reply = should_probe and node.peers.start_probe(
-                host, self.now
-            )
+            may_probe = node.peers.should_probe(host, place)
+            wants_reply = may_probe and node.peers.start_probe(host, self.now)
             self.tell_one(node, host, wants_reply=wants_reply)
 
     def tell_one(
--- a/tests/packets/machine.py
+++ b/tests/packets/machine.py
@@ -384,12 +384,14 @@
     @rule(data=st.data(), host=st.sampled_from(BALANCERS))
     def find_again(self, data: st.DataObject, host: str) -> None:
         """An open flow reaches its upstream through any balancer."""
-        queued = [key for key in sorted(self.flows) if self._find_holders(key)]
-        if not queued:
+        held_flows = [
+            key for key in sorted(self.flows) if self._find_holders(key)
+        ]
+        if not held_flows:
             return
         self.deliver_all()
         self.learn(host)
-        key = data.draw(st.sampled_from(queued))
+        key = data.draw(st.sampled_from(held_flows))
         for _ in range(2 * len(self.hosts) + 2):
             self.reached: list[bytes] = []
             packet = make_packet(self.flows[key], ACK, data=b'GET')
--- a/tests/packets/test_pace.py
+++ b/tests/packets/test_pace.py
@@ -24,41 +24,41 @@
 
     def test_free_slots(self) -> None:
         """The time of a request that found one is its work."""
-        pace = ServiceTimeEstimator()
+        service_time = ServiceTimeEstimator()
         for _ in range(40):
-            pace.record(0.05, busy_on_arrival=1, slots=2)
-        self.assertEqual(pace.milliseconds, 50)
+            service_time.record(0.05, busy_on_arrival=1, slots=2)
+        self.assertEqual(service_time.milliseconds, 50)
 
     def test_queue(self) -> None:
         """Four requests before it at two slots: it waited for a while."""
-        pace = ServiceTimeEstimator()
+        service_time = ServiceTimeEstimator()
         for _ in range(40):
-            pace.record(0.05 * 2.5, busy_on_arrival=4, slots=2)
-        self.assertEqual(pace.milliseconds, 50)
+            service_time.record(0.05 * 2.5, busy_on_arrival=4, slots=2)
+        self.assertEqual(service_time.milliseconds, 50)
 
     def test_unknown_at_first(self) -> None:
         """A single long request sends nobody away."""
-        pace = ServiceTimeEstimator()
+        service_time = ServiceTimeEstimator()
         for _ in range(defaults.MIN_SERVICE_TIME_SAMPLES - 1):
-            pace.record(0.5, busy_on_arrival=0, slots=2)
-        self.assertEqual(pace.milliseconds, 0)
+            service_time.record(0.5, busy_on_arrival=0, slots=2)
+        self.assertEqual(service_time.milliseconds, 0)
 
     def test_one_long_request(self) -> None:
         """One of thirty runs for ten times as long."""
-        pace = ServiceTimeEstimator()
+        service_time = ServiceTimeEstimator()
         for _ in range(32):
-            pace.record(0.05, busy_on_arrival=0, slots=2)
-        pace.record(0.5, busy_on_arrival=0, slots=2)
-        self.assertLess(pace.milliseconds, 56)
+            service_time.record(0.05, busy_on_arrival=0, slots=2)
+        service_time.record(0.5, busy_on_arrival=0, slots=2)
+        self.assertLess(service_time.milliseconds, 56)
 
     def test_turns_slow(self) -> None:
         """An upstream that takes five times as long is known in a while."""
-        pace = ServiceTimeEstimator()
+        service_time = ServiceTimeEstimator()
         for _ in range(32):
-            pace.record(0.05, busy_on_arrival=0, slots=2)
+            service_time.record(0.05, busy_on_arrival=0, slots=2)
         for _ in range(20):
-            pace.record(0.25, busy_on_arrival=0, slots=2)
-        self.assertGreater(pace.milliseconds, 110)
+            service_time.record(0.25, busy_on_arrival=0, slots=2)
+        self.assertGreater(service_time.milliseconds, 110)
 
 
 class AgentPaceTests(TestCase):
--- a/tests/packets/test_room.py
+++ b/tests/packets/test_room.py
@@ -100,9 +100,9 @@
         """Eight answers of 20 ms fit into 200 ms, after the margin."""
         self.overload()
         taken = self.fill()
-        deadline = AIM_MS / 1000 / WORK
-        self.assertLessEqual(taken, deadline)
-        self.assertGreaterEqual(taken, deadline - AT_WORK)
+        answers_in_time = AIM_MS / 1000 / WORK
+        self.assertLessEqual(taken, answers_in_time)
+        self.assertGreaterEqual(taken, answers_in_time - AT_WORK)
 
     def test_refusal_comes_with_the_opening_packet(self) -> None:
         """The upstream has not seen the flow, so it did not run."""
