--- a/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
@@ -38,7 +38,7 @@
         'requests',
         'last_seen_at',
         'route_policy',
-        'work',
+        'in_flight_request',
     )
 
     def __init__(self, now: float) -> None:
@@ -67,7 +67,7 @@
         #: sends data.
         self.initial_sequence: int | None = None
         #: The request in progress, if outcomes of requests are evaluated.
-        self.work: InFlightRequest | None = None
+        self.in_flight_request: InFlightRequest | None = None
 
     def is_new_sequence(self, sequence: int) -> bool:
         """Return whether a sequence number is later than all seen before."""
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
@@ -64,15 +64,15 @@
     """
     if not state.features.ejection or flow.busy_since is None:
         return
-    if flow.work is not None:
-        state.outcomes.record_packet(flow.work, now)
+    if flow.in_flight_request is not None:
+        state.outcomes.record_packet(flow.in_flight_request, now)
         return
     is_first = flow.initial_sequence is not None
     if not flow.confirmed or (
         is_first and not acknowledges_upstream(state, flow, datagram)
     ):
         return
-    flow.work = state.outcomes.track(key, now, state.busy)
+    flow.in_flight_request = state.outcomes.track(key, now, state.busy)
 
 
 def record_opening_reply(
@@ -104,11 +104,11 @@
     was_unanswered = outcomes.unanswered_openings.pop(key, None) is not None
     if state.format.data_length(datagram):
         return _record_data_outcome(state, key, flow, datagram, now)
-    if flow.work in outcomes.timed_out:
+    if flow.in_flight_request in outcomes.timed_out:
         # It was already counted as silent.
         return ()
     flags = state.format.flags(datagram)
-    if flags & _RST and (flow.work is not None or was_unanswered):
+    if flags & _RST and (flow.in_flight_request is not None or was_unanswered):
         return record_outcome(state, key, Outcome.RESET, now)
     if flags & _FIN and _closed_before_response(state, flow, datagram):
         return record_outcome(state, key, Outcome.CLOSED, now)
@@ -125,7 +125,7 @@
     nothing: an upstream that shuts down closes after a response, and may not
     have seen the next request.
     """
-    if flow.work is None or flow.initial_sequence is None:
+    if flow.in_flight_request is None or flow.initial_sequence is None:
         return False
     return follows_opening(
         state.format.sequence(datagram), flow.initial_sequence
@@ -141,11 +141,11 @@
 ) -> Effects:
     is_overtaken_by_close = flow.ended and flow.initial_sequence is not None
     flow.initial_sequence = None
-    if flow.work is None and not is_overtaken_by_close:
+    if flow.in_flight_request is None and not is_overtaken_by_close:
         return ()
-    state.outcomes.record_response(flow.work)
+    state.outcomes.record_response(flow.in_flight_request)
     # The busy count no longer includes a request whose flow was closed first.
-    in_flight = state.busy + (flow.work is None)
+    in_flight = state.busy + (flow.in_flight_request is None)
     outcome = _classify_response(state, datagram, in_flight)
     if outcome is None:
         state.outcomes.ejection.forget(key)
@@ -186,7 +186,7 @@
     just after it accepted it.
     """
     was_just_accepted = (
-        flow.work is not None and flow.initial_sequence is not None
+        flow.in_flight_request is not None and flow.initial_sequence is not None
     )
     if not was_just_accepted or not state.format.data_length(packet):
         return ()
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/order.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/order.py
@@ -25,12 +25,12 @@
 
 def has_capacity(state: AgentState, now: float) -> bool:
     """Return whether the upstream can take another request."""
-    state.work.record_mean_response(now, state.answer_seconds)
+    state.workload.record_mean_response(now, state.answer_seconds)
     if state.has_capacity:
         return True
     if not state.features.scheduling:
         return False
-    in_flight = state.work.count_not_overdue(now)
+    in_flight = state.workload.count_not_overdue(now)
     return in_flight < state.slots + agent_defaults.PREFETCH_COUNT
 
 
@@ -51,7 +51,7 @@
         return max(ready, key=lambda key: queued[key].rank(now, response_time))
     best = max(ready, key=lambda key: _rank(queued[key], now, response_time))
     chosen = _find_starved(state, ready, now) or best
-    state.work.last_served_at[queued[chosen].priority] = now
+    state.workload.last_served_at[queued[chosen].priority] = now
     return chosen
 
 
@@ -77,11 +77,11 @@
     ]
     if not starved:
         return None
-    state.work.released_since_starved += 1
-    if state.work.released_since_starved < defaults.STARVED_INTERVAL:
+    state.workload.released_since_starved += 1
+    if state.workload.released_since_starved < defaults.STARVED_INTERVAL:
         return None
-    state.work.released_since_starved = 0
-    last_served_at = state.work.last_served_at
+    state.workload.released_since_starved = 0
+    last_served_at = state.workload.last_served_at
     return min(
         starved,
         key=lambda key: (
--- a/packages/keelgap-agent/src/keelgap_agent/packets/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/state.py
@@ -60,7 +60,7 @@
         self.is_evacuated = False
         #: Catalog revision from which ``is_evacuated`` was taken.
         self.zone_revision = 0
-        self.work = Workload()
+        self.workload = Workload()
         #: Requests that wait for a free slot, and new flows whose first request
         #: has not arrived, by flow key.
         self.queued: dict[bytes, QueuedRequest] = {}
@@ -84,7 +84,7 @@
     def reset_outcomes(self, now: float) -> None:
         """Reset outcomes and service time, after another upstream started."""
         for flow in self.flows.values():
-            flow.work = None
+            flow.in_flight_request = None
         abandoned_flows = self.outcomes.abandoned_flows
         self.outcomes = OutcomeTracker(now)
         self.outcomes.abandoned_flows = abandoned_flows
@@ -175,7 +175,7 @@
     @property
     def busy(self) -> int:
         """Return the number of requests in progress at the upstream."""
-        return len(self.work.flows)
+        return len(self.workload.flows)
 
     @property
     def has_capacity(self) -> bool:
@@ -211,7 +211,7 @@
         if flow.busy_since is None:
             flow.busy_since = now
             flow.busy_on_arrival = self.busy
-            self.work.flows[flow] = None
+            self.workload.flows[flow] = None
 
     def end_request(self, flow: Flow, now: float) -> None:
         """Record that the upstream answers the request of a flow."""
@@ -238,10 +238,10 @@
         """Record that the upstream no longer works on the request of a flow."""
         if flow.busy_since is not None:
             flow.busy_since = None
-            self.work.flows.pop(flow, None)
-        if flow.work is not None:
-            self.outcomes.untrack(flow.work)
-            flow.work = None
+            self.workload.flows.pop(flow, None)
+        if flow.in_flight_request is not None:
+            self.outcomes.untrack(flow.in_flight_request)
+            flow.in_flight_request = None
 
     def forget(self, key: bytes) -> None:
         """Remove a flow and everything recorded about it."""
--- a/tests/packets/test_ejection.py
+++ b/tests/packets/test_ejection.py
@@ -277,7 +277,7 @@
         self.assertGreater(len(world.agents[host].queued), 2)
         begun: dict[FlowName, float] = {}
         for _ in range(round((3 * seconds + 1) / 0.05)):
-            in_flight = world.agents[host].work.flows
+            in_flight = world.agents[host].workload.flows
             for flow in flows:
                 found = world.agents[host].flows.get(flow.key)
                 if found in in_flight:
--- a/tests/packets/test_oracle.py
+++ b/tests/packets/test_oracle.py
@@ -114,7 +114,7 @@
 
 def count_twice(state: Any, key: bytes, now: float) -> Any:
     """Stand in for an agent that counts a request twice."""
-    state.work.flows[Flow(now)] = None
+    state.workload.flows[Flow(now)] = None
     return release(state, key, now)
 
 
