--- a/experiments/outage/callers.py
+++ b/experiments/outage/callers.py
@@ -10,7 +10,7 @@
 __all__ = ('Caller', 'CallerPorts')
 
 #: When copies of an opening packet are sent, and when a try is given up.
-REPLICAS: Final = (0, 0.2, 0.6)
+OPENING_DELAYS: Final = (0, 0.2, 0.6)
 TRY_SECONDS: Final = 1.4
 TRIES: Final = 3
 #: Unanswered data is sent again after so long, then after twice as long.
@@ -85,7 +85,7 @@
         flow = self.open_flow(self)
         self.flow = flow
         now = self.ports.clock()
-        for number, delay in enumerate(REPLICAS):
+        for number, delay in enumerate(OPENING_DELAYS):
             self.ports.later(now + delay, partial(self._open, flow, number))
         self.ports.later(now + TRY_SECONDS, lambda: self._give_up(flow))
 
