--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/defaults.py
@@ -26,8 +26,8 @@
 MIN_OVERDUE_SECONDS: Final = 0.3
 
 #: A request queued for longer than this is starved, and may go before all
-#: others.  Most routes aim at shorter response times, so its response is
-#: usually late, but it gets one.
+#: others.  Most routes have shorter targets, so its response is usually late,
+#: but it gets one.
 STARVED_SECONDS: Final = 0.5
 
 #: While requests are starved, one in so many requests sent to the upstream is a
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/route_policy.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/route_policy.py
@@ -14,8 +14,8 @@
 
     #: 0 is the highest priority.
     priority: int
-    #: Response time objective: seconds within which a response is in time.
-    slo_seconds: float
+    #: Target response time in seconds, within which a response is in time.
+    target_seconds: float
     #: Seconds after which a caller stops waiting; infinite if not known.
     timeout_seconds: float
     #: Whether the caller's last packet was full, so that the next one may
@@ -43,19 +43,21 @@
 ) -> RoutePolicy | None:
     """Return the policy after a subsequent packet of a flow.
 
-    The packet's envelope holds the current priority and response time objective
-    of the route, for the next request.  A balancer that does not know them, or
+    The packet's envelope holds the current priority and target response time of
+    the route, for the next request.  A balancer that does not know them, or
     is of an earlier release, sends none.  The envelope of a repeated opening
     packet is ignored, since it holds what its caller has left.
     """
     if envelope.kind in OPENING_KINDS or envelope.left_ms <= 0:
         return policy
-    slo_seconds = envelope.left_ms / _MILLISECONDS
+    target_seconds = envelope.left_ms / _MILLISECONDS
     if policy is None:
-        return RoutePolicy(envelope.priority, slo_seconds, float('inf'))
-    if (policy.priority, policy.slo_seconds) == (
+        return RoutePolicy(envelope.priority, target_seconds, float('inf'))
+    if (policy.priority, policy.target_seconds) == (
         envelope.priority,
-        slo_seconds,
+        target_seconds,
     ):
         return policy
-    return policy._replace(priority=envelope.priority, slo_seconds=slo_seconds)
+    return policy._replace(
+        priority=envelope.priority, target_seconds=target_seconds
+    )
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
@@ -199,7 +199,7 @@
     return QueuedRequest(
         arrived_at=now,
         priority=route_policy.priority,
-        deadline=now + route_policy.slo_seconds,
+        deadline=now + route_policy.target_seconds,
         earliest_departure=latest_departure,
         latest_departure=latest_departure,
         is_from_outage=False,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/forwarding.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/forwarding.py
@@ -18,11 +18,11 @@
     datagram: bytes,
     hop: int = 0,
 ) -> SendToAgent:
-    """Return the effect that forwards a packet with the terms of its route.
+    """Return the effect that forwards a packet with the policy of its route.
 
-    The terms are the priority and the aim.  An agent that started after the
-    flow was opened has no other source for them.  An aim of 0 would mean that
-    it is unknown, so it is at least one millisecond.
+    The policy is the priority and the target response time.  An agent that
+    started after the flow was opened has no other source for them.  A target
+    of 0 would mean that it is unknown, so at least one millisecond is sent.
     """
     route = state.find_route(datagram) if state.features.scheduling else None
     if route is None:
