--- a/packages/keelgap-agent/src/keelgap_agent/packets/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/server.py
@@ -95,7 +95,7 @@
             SendToUpstream: self._send_to_upstream,
             SendToCaller: self._send_to_caller,
             SendToPeer: self._send_to_peer,
-            Decided: self.decisions.take,
+            Decided: self.decisions.record_decision,
             Observed: self._observe,
         })
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
@@ -132,7 +132,7 @@
             SendToBalancers: self.gossip.broadcast,
             SendReset: self._send_reset,
             RefreshCatalog: self._catch_up,
-            Decided: self.decisions.take,
+            Decided: self.decisions.record_decision,
             Observed: self._observe,
         })
 
@@ -142,7 +142,7 @@
         store = self.adapter.StoreClient(
             loop,
             parse_address(self.settings.store.address),
-            self.catalog.take,
+            self.catalog.handle_event,
             self._count_store_call,
         )
         self.catalog.start(store)
--- a/packages/keelgap/src/keelgap/catalog/driver.py
+++ b/packages/keelgap/src/keelgap/catalog/driver.py
@@ -105,7 +105,7 @@
         self._run_effects(start(self.state))
         self.loop.call_every(_TIMER_SECONDS, self._tick)
 
-    def take(self, event: FollowerEvent) -> None:
+    def handle_event(self, event: FollowerEvent) -> None:
         """Apply an event to the state and run its effects."""
         before = (self.state.revision, self.state.failing_since)
         state, effects = reduce(self.state, event)
@@ -116,12 +116,12 @@
 
     def catch_up(self) -> None:
         """Read changes without waiting for the pause between watches."""
-        self.take(CatchUpRequested(self.loop.clock()))
+        self.handle_event(CatchUpRequested(self.loop.clock()))
 
     def record_peer_revision(self, peer: Address, revision: int) -> None:
         """Record the revision that a peer holds."""
         if revision > self.state.revision:
-            self.take(PeerAhead(self.loop.clock(), peer, revision))
+            self.handle_event(PeerAhead(self.loop.clock(), peer, revision))
 
     @property
     def is_answered(self) -> bool:
@@ -135,7 +135,7 @@
     ) -> None:
         """Start to read the store, or to follow peers that read it."""
         now = self.loop.clock()
-        self.take(ReaderRoleDecided(now, is_reader, processes))
+        self.handle_event(ReaderRoleDecided(now, is_reader, processes))
 
     def make_catalog_page(self, query: str) -> Page:
         """Return the changes after the revision in the query, for a peer."""
@@ -147,7 +147,7 @@
             self.handlers[type(effect)](effect)
 
     def _tick(self) -> None:
-        self.take(TimerFired(self.loop.clock()))
+        self.handle_event(TimerFired(self.loop.clock()))
 
     def _schedule_page(self, effect: ReadPage) -> None:
         self._schedule_call(
@@ -203,7 +203,7 @@
             except MalformedCatalog as error:
                 reason = str(error)
             else:
-                self.take(event)
+                self.handle_event(event)
                 return
         self.lines.decide(
             'fetch_failed',
--- a/packages/keelgap/src/keelgap/packets/process.py
+++ b/packages/keelgap/src/keelgap/packets/process.py
@@ -50,7 +50,7 @@
         self.lines = lines
         self.counters = counters
 
-    def take(self, decision: _Decision) -> None:
+    def record_decision(self, decision: _Decision) -> None:
         """Count and log one decision."""
         self.counters.count(decision.name)
         if decision.fields is not None:
