--- a/packages/keelgap-agent/src/keelgap_agent/packets/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/server.py
@@ -129,7 +129,7 @@
     def stop(self) -> None:
         """Stop gracefully, once the requests in progress have ended."""
         if self.state.stopping_since is None:
-            self.process.lines.tell('stopping', busy=self.state.busy)
+            self.process.lines.log('stopping', busy=self.state.busy)
             self._dispatch(StopRequested(self.loop.clock()))
 
     def reload(self, settings: AgentPacketSettings) -> tuple[str, ...]:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
@@ -134,7 +134,7 @@
         is_reader = self.readers.decide(now, self.peers.last_heard)
         self.catalog.set_reader_role(is_reader, len(self.peers.last_heard) + 1)
         if is_reader != was_reader:
-            self.process.lines.tell(
+            self.process.lines.log(
                 'reading_store' if is_reader else 'following_readers',
                 other_readers=self.readers.list_fresh(now),
                 revision=self.catalog.state.revision,
@@ -153,7 +153,7 @@
     def _log_changes(self, lost: tuple[str, ...]) -> None:
         """Log the balancers found and lost, on one line."""
         if self.found or lost:
-            self.process.lines.tell(
+            self.process.lines.log(
                 'balancers_changed',
                 found=len(self.found),
                 lost=len(lost),
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
@@ -181,7 +181,7 @@
         """Begin a planned stop: first the routers must stop sending here."""
         if self.stopping_since is None:
             self.stopping_since = self.loop.clock()
-            self.process.lines.tell('stopping')
+            self.process.lines.log('stopping')
 
     def reload(self, settings: BalancerPacketSettings) -> tuple[str, ...]:
         """Apply changed settings; only the seeds can be changed."""
@@ -204,7 +204,7 @@
             return
         if not self.has_served:
             self.has_served = True
-            self.process.lines.tell('first_caller_packet')
+            self.process.lines.log('first_caller_packet')
         self._dispatch(CallerPacket(self.loop.clock(), datagram))
 
     def _handle_peer_message(
@@ -310,7 +310,7 @@
         is_ready = self.can_serve and not self.rotation.is_withdrawn
         if is_ready != self.was_ready:
             self.was_ready = is_ready
-            self.process.lines.tell('readiness_told', ready=is_ready)
+            self.process.lines.log('readiness_told', ready=is_ready)
         return make_ready_page(is_ready)
 
     def _tick(self) -> None:
@@ -333,7 +333,7 @@
             return
         self.is_isolated = is_isolated
         event = 'isolated' if is_isolated else 'isolation_over'
-        self.process.lines.tell(event, heard_at=round(self.last_message_at, 3))
+        self.process.lines.log(event, heard_at=round(self.last_message_at, 3))
 
     def _update_rotation(self, now: float) -> None:
         """Withdraw in favour of balancers with faster links, or return."""
@@ -345,7 +345,7 @@
         others = self.balancer_infos.list_in_zone(alive)
         before = self.rotation.is_withdrawn
         if self.rotation.update(self.balancer_infos.own, others, now) != before:
-            self.process.lines.tell(
+            self.process.lines.log(
                 'link_yields' if self.rotation.is_withdrawn else 'link_serves',
                 link_megabits=megabits,
                 others={one.host: one.link_megabits for one in others},
--- a/packages/keelgap/src/keelgap/catalog/driver.py
+++ b/packages/keelgap/src/keelgap/catalog/driver.py
@@ -155,7 +155,7 @@
         )
 
     def _read_first_page_again(self, effect: ReadFirstPageAgain) -> None:
-        self.lines.decide(
+        self.lines.log_decision(
             'first_page_asked_again',
             waited=round(self.loop.clock() - self.state.answered_at, 3),
         )
@@ -205,7 +205,7 @@
             else:
                 self.handle_event(event)
                 return
-        self.lines.decide(
+        self.lines.log_decision(
             'fetch_failed',
             status=response.status,
             reason=reason,
@@ -219,7 +219,7 @@
             effect.latest_change,
             effect.missed,
         )._replace(has_gap=effect.has_gap)
-        self.lines.tell(
+        self.lines.log(
             'catalog_in_force',
             revision=effect.revision,
             version=catalog.routes.version,
@@ -232,14 +232,14 @@
         self.on_catalog(catalog)
 
     def _log_store_lost(self, effect: StoreLost) -> None:
-        self.lines.tell(
+        self.lines.log(
             'store_lost',
             reason=effect.reason,
             revision=self.state.revision,
         )
 
     def _log_store_regained(self, effect: StoreRegained) -> None:
-        self.lines.tell(
+        self.lines.log(
             'store_regained',
             after_seconds=round(effect.after_seconds, 3),
             revision=self.state.revision,
@@ -255,7 +255,7 @@
             reason = fault.error.reason
             self.count(f'entry_refused_{reason}')
         listed = faults[:MAX_LISTED]
-        self.lines.decide(
+        self.lines.log_decision(
             'entries_refused',
             count=len(faults),
             keys=[one.key for one in listed],
--- a/packages/keelgap/src/keelgap/packets/process.py
+++ b/packages/keelgap/src/keelgap/packets/process.py
@@ -54,7 +54,7 @@
         """Count and log one decision."""
         self.counters.count(decision.name)
         if decision.fields is not None:
-            self.lines.decide(decision.name, **decision.fields)
+            self.lines.log_decision(decision.name, **decision.fields)
 
 
 class PacketProcess:
@@ -145,12 +145,12 @@
         process.loop.handle_signals(handlers, stack)
         server.start()
         watcher.start(process.loop)
-        process.lines.tell(
+        process.lines.log(
             'started',
             process_seconds=round(time.process_time(), 3),
         )
         process.loop.run()
-        process.lines.tell('stopped', counters=process.counters.totals)
+        process.lines.log('stopped', counters=process.counters.totals)
         process.lines.flush()
     return 0
 
--- a/packages/keelgap/src/keelgap/packets/reload.py
+++ b/packages/keelgap/src/keelgap/packets/reload.py
@@ -51,12 +51,12 @@
         try:
             new_settings = load_settings(self.path, type(self.settings))
         except KeelgapError as error:
-            self.lines.tell('reload_refused', code=error.code, error=str(error))
+            self.lines.log('reload_refused', code=error.code, error=str(error))
             return
         changed = _list_changes(self.settings, new_settings)
         self.settings = new_settings
         applied = self.on_change(new_settings) if changed else ()
-        self.lines.tell(
+        self.lines.log(
             'reloaded',
             changed=changed,
             needs_restart=[name for name in changed if name not in applied],
--- a/packages/keelgap/src/keelgap/runtime/json_log.py
+++ b/packages/keelgap/src/keelgap/runtime/json_log.py
@@ -61,7 +61,7 @@
         self.current_second = 0
         self.allowance = LINES_PER_SECOND
 
-    def decide(self, event: str, **fields: object) -> None:
+    def log_decision(self, event: str, **fields: object) -> None:
         """Log a decision on a flow, subject to the rate limit."""
         current_second = int(self.clock())
         if current_second != self.current_second:
@@ -71,9 +71,9 @@
         if self.allowance < 0:
             self._drop(event)
             return
-        self.tell(event, **fields)
+        self.log(event, **fields)
 
-    def tell(self, event: str, **fields: object) -> None:
+    def log(self, event: str, **fields: object) -> None:
         """Log a rare event, for example a start, a stop or a state change."""
         if len(self.queued_lines) >= MAX_QUEUED_LINES:
             self._drop(event)
@@ -94,7 +94,7 @@
         if self.dropped and len(self.queued_lines) < MAX_QUEUED_LINES:
             dropped = self.dropped
             self.dropped = {}
-            self.tell(
+            self.log(
                 'log_lines_dropped',
                 count=sum(dropped.values()),
                 events=dropped,
--- a/tests/keelgap/test_docs.py
+++ b/tests/keelgap/test_docs.py
@@ -110,7 +110,7 @@
         found = set()
         for source in sources:
             text = source.read_text('utf-8')
-            calls = r"(?:Decided|tell|decide|count|_tell)\(\s*'([a-z_]+)'"
+            calls = r"(?:Decided|log|log_decision|count)\(\s*'([a-z_]+)'"
             found.update(re.findall(calls, text))
             # A reason for giving a flow back is the name of its event.
             found.update(re.findall("'(miss_[a-z_]+)'", text))
--- a/tests/keelgap/test_runtime.py
+++ b/tests/keelgap/test_runtime.py
@@ -106,7 +106,7 @@
 
     def test_lines_are_json_with_their_fields(self) -> None:
         """Program and instance are in each."""
-        self.lines.tell('started', revision=3)
+        self.lines.log('started', revision=3)
         self.lines.flush()
         line = self.read()[0]
         self.assertEqual(line['event'], 'started')
@@ -117,7 +117,7 @@
         """Lines beyond the queue are counted, and the count is told."""
         self.room = 10
         for number in range(lines_module.MAX_QUEUED_LINES + 5):
-            self.lines.tell('x', number=number)
+            self.lines.log('x', number=number)
         self.lines.flush()
         self.assertEqual(len(b''.join(self.written)), 10)
         self.assertEqual(sum(self.lines.dropped.values()), 5)
@@ -135,9 +135,9 @@
         none how many callers had been refused in them.
         """
         for _ in range(lines_module.LINES_PER_SECOND):
-            self.lines.decide('held')
+            self.lines.log_decision('held')
         for event in ('held', 'reset_no_taker', 'held'):
-            self.lines.decide(event)
+            self.lines.log_decision(event)
         self.lines.flush()
         (told,) = [
             line for line in self.read() if line['event'] == 'log_lines_dropped'
@@ -148,13 +148,13 @@
     def test_decisions_are_bounded_each_second(self) -> None:
         """A flood of packets does not become a flood of lines."""
         for _ in range(lines_module.LINES_PER_SECOND * 3):
-            self.lines.decide('reset')
+            self.lines.log_decision('reset')
         self.assertEqual(
             len(self.lines.queued_lines),
             lines_module.LINES_PER_SECOND,
         )
         self.clock.now += 1
-        self.lines.decide('reset')
+        self.lines.log_decision('reset')
         self.assertEqual(
             len(self.lines.queued_lines),
             lines_module.LINES_PER_SECOND + 1,
