--- a/packages/keelgap-agent/src/keelgap_agent/packets/capacity/deadlines.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/capacity/deadlines.py
@@ -28,7 +28,7 @@
 
 
 class _Queue(NamedTuple):
-    """Number of queued requests that matter for a new one."""
+    """Numbers of queued requests that compete with a new one."""
 
     #: Requests that can be in time and go before it.
     ahead: int
--- a/packages/keelgap-agent/src/keelgap_agent/packets/capacity/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/capacity/defaults.py
@@ -56,8 +56,8 @@
 #: margin.
 MARGIN_SERVICE_TIMES: Final = 1.5
 
-#: Share of the capacity for late requests that first tries may use.  The rest
-#: is for callers that were refused before.
+#: Share of the capacity for late requests that first tries may use.  The
+#: remaining share is for callers that were refused before.
 FIRST_TRY_LATE_SHARE: Final = 0.5
 
 #: A new flow without its request for so many seconds does not count as queued:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/defaults.py
@@ -131,9 +131,9 @@
 REGISTER_INTERVAL_SECONDS: Final = 1.0
 
 #: In the first second of the agent, the interval is this times the number of
-#: shards: after an outage nodes start at any moment, and verdicts wait for the
-#: registrations that they missed.  At 1,000 upstreams, a node gets 1,250
-#: registrations per second.
+#: shards: after an outage nodes start at any moment, and dead flows are reset
+#: only after the registrations that they missed.  At 1,000 upstreams, a node
+#: gets 1,250 registrations per second.
 STARTUP_REGISTER_SECONDS: Final = 0.1
 
 #: A directory node covers an agent for this long after its last registration,
@@ -161,12 +161,12 @@
 MAX_PENDING_OPENINGS: Final = 1000
 
 #: Minimum interval between updates of the agents that a directory node covers.
-#: It limits the processor time of lookups, and delays a verdict by up to as
-#: much.
+#: It limits the processor time of lookups, and delays the reset of a dead flow
+#: by up to as much.
 COVERAGE_UPDATE_SECONDS: Final = 0.05
 
 #: How long after a lookup a balancer is notified of changes of the coverage,
-#: for which it waits with its verdicts.
+#: which it may need to decide whether a flow is dead.
 WATCHER_TIMEOUT_SECONDS: Final = 0.5
 
 #: Flows older than this have ended: the platform allows to discard those of
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
@@ -51,9 +51,9 @@
 def handle_lookup(state: AgentState, event: EnvelopeArrived) -> Effects:
     """Answer which agents may own flows; raise MalformedEnvelope.
 
-    The balancer is also told which agents are covered, unless its digest shows
-    that it knows them, and is notified of changes for some time: it may wait
-    for them with its verdicts.
+    The covered agents are sent as well, unless the digest in the request shows
+    that the balancer knows them.  The balancer is notified of changes for some
+    time, since it may need them to decide whether a flow is dead.
     """
     request = unpack_lookup_request(event.envelope.content)
     now = event.now
@@ -76,7 +76,7 @@
 
 
 def notify_watchers(state: AgentState, now: float) -> Effects:
-    """Notify balancers that wait with verdicts of a changed coverage."""
+    """Notify balancers of a changed coverage after their lookups."""
     directory = state.directory
     directory.expire_watchers(now)
     if not directory.watchers:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
@@ -24,7 +24,7 @@
 
 
 class Flow:
-    """A flow as far as the packets of both of its ends show it."""
+    """State of a flow, as far as the packets of both ends show it."""
 
     __slots__ = (
         'searched_by',
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/abandonment.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/abandonment.py
@@ -32,7 +32,7 @@
 
 __all__ = (
     'answer_abandoned_flow',
-    'drop_abandoned_flow',
+    'drop_abandoned_packet',
     'return_opening',
     'abandon_queued_flows',
     'reset_queued_flow',
@@ -120,7 +120,7 @@
     return reset, Decided('reset_given_up')
 
 
-def drop_abandoned_flow() -> Effects:
+def drop_abandoned_packet() -> Effects:
     """Drop a packet of the upstream that belongs to an abandoned flow."""
     return (Decided('drop_given_up'),)
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
@@ -1,4 +1,4 @@
-"""Determine how requests end, from packets and from missing packets."""
+"""Determine the outcomes of requests from packets and from timeouts."""
 
 from typing import Final
 
@@ -96,7 +96,8 @@
 ) -> Effects:
     """Record the outcome that a packet from the upstream shows.
 
-    To be called before the state is told that the request has ended.
+    Must be called before ``AgentState.end_request``, which stops tracking the
+    request.
     """
     if not state.features.ejection:
         return ()
@@ -194,7 +195,7 @@
 
 
 def detect_timeouts(state: AgentState, now: float) -> Effects:
-    """Record a failure for what the upstream has not answered in time."""
+    """Record a failure for each opening and request that timed out."""
     if not state.features.ejection:
         return ()
     response_timeout = _compute_response_timeout(state)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/state.py
@@ -57,8 +57,8 @@
         self.timed_out: set[InFlightRequest] = set()
         #: Opening packets without a reply by flow key, oldest first.
         self.unanswered_openings: dict[bytes, EnvelopeArrived] = {}
-        #: Flows whose caller or balancer was told that they were abandoned,
-        #: by flow key, oldest first.
+        #: Flows that were reset or returned to their balancer, by flow key,
+        #: oldest first.
         self.abandoned_flows: dict[bytes, AbandonedFlow] = {}
         self.started_at = now
         #: Since when this process has run without a pause.
--- a/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
@@ -39,7 +39,7 @@
 from keelgap_agent.packets.notices import handle_notice
 from keelgap_agent.packets.outlier_ejection.abandonment import (
     answer_abandoned_flow,
-    drop_abandoned_flow,
+    drop_abandoned_packet,
 )
 from keelgap_agent.packets.outlier_ejection.detection import (
     detect_timeouts,
@@ -70,10 +70,10 @@
 )
 from keelgap_agent.packets.scheduling.subsequent_requests import (
     handle_bounce,
+    handle_flow_end,
     handle_subsequent_packet,
     must_queue,
     queue_subsequent_request,
-    settle_queued_request,
 )
 from keelgap_agent.packets.state import AgentState
 
@@ -151,7 +151,7 @@
     flow: Flow,
     event: EnvelopeArrived,
 ) -> Callable[[AgentState, bytes, EnvelopeArrived], Effects] | None:
-    """Return the handler of a packet whose request waits; else None."""
+    """Return the handler of a packet of a queued request, or None."""
     waiting = state.queued.get(key)
     if waiting is not None:
         return (
@@ -242,7 +242,7 @@
     now = event.now
     key = state.format.upstream_key(datagram)
     if key in state.outcomes.abandoned_flows:
-        return drop_abandoned_flow()
+        return drop_abandoned_packet()
     flow = state.flows.get(key)
     if flow is None:
         # The flow was opened before this process started.
@@ -258,9 +258,9 @@
     answered = _record_answer(state, key, flow, datagram, now)
     # Must follow the end of the flow: data forwarded on an ended flow does not
     # count as work.
-    settled = settle_queued_request(state, key, flags, now)
+    dequeued = handle_flow_end(state, key, flags, now)
     released = release_queued(state, now) if state.queued else ()
-    return (SendToCaller(datagram), *owned, *answered, *settled, *released)
+    return (SendToCaller(datagram), *owned, *answered, *dequeued, *released)
 
 
 def _answer_search(state: AgentState, key: bytes, flow: Flow) -> Effects:
@@ -306,7 +306,7 @@
     packet = state.format.without_bounce(datagram)
     key = state.format.caller_key(packet)
     if key in state.outcomes.abandoned_flows:
-        return drop_abandoned_flow()
+        return drop_abandoned_packet()
     lost = handle_bounce(state, key, packet, now)
     state.forget(key)
     if host is None:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
@@ -67,7 +67,8 @@
 def announce_complete(state: AgentState, reason: str, now: float) -> Effects:
     """Tell the directory nodes at once that they may cover this agent.
 
-    After an outage of the whole fleet, verdicts on dead flows wait for it.
+    After an outage of the whole fleet, balancers wait for it before they reset
+    dead flows.
     """
     registrar = state.registrar
     fields = {
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/continuations.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/continuations.py
@@ -27,7 +27,7 @@
 
 
 def record_released_request(state: AgentState, queued: QueuedRequest) -> None:
-    """Record the same for the last packet of a queued request that is sent."""
+    """Record whether the last packet of a released request was full."""
     for event in queued.packets.values():
         datagram = event.envelope.content
         flow = state.flows[state.format.caller_key(datagram)]
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
@@ -27,7 +27,7 @@
 
 __all__ = (
     'must_queue',
-    'settle_queued_request',
+    'handle_flow_end',
     'queue_subsequent_request',
     'release_queued_request',
     'handle_bounce',
@@ -95,7 +95,7 @@
     announced = _announce_owned(state, key, event)
     if state.format.flags(datagram) & ENDS_FLOW:
         # The last data of a request may arrive with the caller's FIN.
-        settled = (
+        dequeued = (
             release_queued_request(state, key, event.now)
             if has_data
             else _drop_abandoned(state, key, event.now)
@@ -104,7 +104,7 @@
         state.cancel_request(flow)
         return (
             *announced,
-            *settled,
+            *dequeued,
             forwarded,
             *release_queued(state, event.now),
         )
@@ -113,17 +113,18 @@
     return (*announced, *_store_packet(state, key, state.queued[key], event))
 
 
-def settle_queued_request(
+def handle_flow_end(
     state: AgentState,
     key: bytes,
     flags: int,
     now: float,
 ) -> Effects:
-    """Settle a queued request if the upstream ends its flow.
+    """Send or drop the queued request of a flow that the upstream ends.
 
-    If the upstream closes the flow, the request is sent to it, since it
-    responds to later packets itself.  After a reset the caller no longer
-    waits, so the request is dropped.
+    Does nothing unless ``flags`` contain FIN or RST.  If the upstream closes
+    the flow, the request is sent to it, since it responds to later packets
+    itself.  After a reset the caller no longer waits, so the request is
+    dropped.
     """
     if not flags & ENDS_FLOW or not _is_subsequent_queued(state, key):
         return ()
@@ -171,7 +172,7 @@
 
 
 def _may_queue(state: AgentState, flow: Flow) -> bool:
-    """Return whether this process knows a flow well enough, and may queue it.
+    """Return whether a request on a flow may be queued here.
 
     Without earlier data, a packet may belong to a request of which another
     process sent the beginning to the upstream.
