--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
@@ -23,7 +23,7 @@
 
 
 class Excess(NamedTuple):
-    """Recent flows of a caller, and the level of equal shares they reach."""
+    """Recent flows of a caller at or above its fair share, and that share."""
 
     recent_flows: float
     level: float
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
@@ -210,7 +210,7 @@
 #: Polls in each interval of the timer in that case.  This makes 10 a second.
 POLLS_PER_TICK: Final = 1
 
-#: An agent that owes a reply for this long gets no new flows while there are
+#: An agent whose reply is due for this long gets no new flows while there are
 #: others.  Reports come at least every 0.25 s, and a caller sends its second
 #: copy after 0.6 s.
 UNRESPONSIVE_SECONDS: Final = 0.35
@@ -285,7 +285,7 @@
 #: In a small fleet a balancer that was silent for this long is removed.
 PEER_TIMEOUT_SECONDS: Final = 10.0
 
-#: A balancer that owes a reply to a probe for this long is suspected.  It is
+#: A balancer that has not replied to a probe for this long is suspected.  It is
 #: probed twice in this time, since one message in ten may be lost on degraded
 #: links.
 PROBE_TIMEOUT_SECONDS: Final = 0.95
@@ -377,8 +377,8 @@
 SHARE_DECAY_SECONDS: Final = 20.0
 
 #: Maximum number of callers whose requests are counted, which takes 1 MB.
-#: Beyond it, those silent for the longest time are forgotten; callers that
-#: cause the pressure are not among them.
+#: Beyond it, the least recently active ones are forgotten; callers that cause
+#: the overload are not among them.
 MAX_CALLERS: Final = 4096
 
 #: How long equal shares are enforced after a refusal.
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/directory_client.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/directory_client.py
@@ -93,10 +93,10 @@
 ) -> Effects:
     """Look up a flow at a directory node, or queue it if the node is busy."""
     node = state.directory_nodes.setdefault(host, DirectoryNodeView())
-    node.waiting[key] = None
-    asked_at = node.asked_at
-    is_busy = asked_at is not None and (
-        now - asked_at < defaults.LOOKUP_TIMEOUT_SECONDS
+    node.queued_keys[key] = None
+    lookup_sent_at = node.lookup_sent_at
+    is_busy = lookup_sent_at is not None and (
+        now - lookup_sent_at < defaults.LOOKUP_TIMEOUT_SECONDS
     )
     return () if is_busy else send_queued_lookups(state, host, node, now)
 
@@ -109,11 +109,11 @@
 
     Raises MalformedEnvelope.
     """
-    lookup = unpack_lookup_response(event.envelope.content)
+    response = unpack_lookup_response(event.envelope.content)
     node = state.directory_nodes.setdefault(event.sender, DirectoryNodeView())
-    node.asked_at = None
-    node.was_asked_again = False
-    return lookup, send_queued_lookups(state, event.sender, node, event.now)
+    node.lookup_sent_at = None
+    node.was_lookup_repeated = False
+    return response, send_queued_lookups(state, event.sender, node, event.now)
 
 
 def handle_coverage(state: PacketState, event: EnvelopeArrived) -> bool:
@@ -165,13 +165,13 @@
     now: float,
 ) -> Effects:
     """Look up the flows that are queued for a directory node."""
-    keys = tuple(islice(node.waiting, MAX_KEYS_PER_MESSAGE))
+    keys = tuple(islice(node.queued_keys, MAX_KEYS_PER_MESSAGE))
     view = state.agents_by_host.get(host)
     if view is None or not keys:
         return ()
     for key in keys:
-        node.waiting.pop(key)
-    node.asked_at = now
+        node.queued_keys.pop(key)
+    node.lookup_sent_at = now
     view.expect_answer(now)
-    question = LookupRequest(node.digest, keys)
-    return (view.send(EnvelopeKind.LOOKUP, pack_lookup_request(question)),)
+    request = LookupRequest(node.digest, keys)
+    return (view.send(EnvelopeKind.LOOKUP, pack_lookup_request(request)),)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/flow_opening.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/flow_opening.py
@@ -85,11 +85,11 @@
         return _offer(state, owner, opening)
     if owner is None:
         return _place_new(state, opening)
-    silent: tuple[str, ...] = (owner.host,)
-    if choose_agent(state, route, key, now, silent) is None:
+    excluded: tuple[str, ...] = (owner.host,)
+    if choose_agent(state, route, key, now, excluded) is None:
         # There is no other agent, and this one may only be restarting.
-        silent = ()
-    return _place(state, opening, silent)
+        excluded = ()
+    return _place(state, opening, excluded)
 
 
 def _place_new(state: PacketState, opening: OpeningPacket) -> Effects:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip.py
@@ -123,15 +123,15 @@
     """Return the octets of hosts, changes, infos and claims."""
     sizes = (_HOST_LENGTH, _CHANGE.size, _BALANCER_INFO.size)
     parts = []
-    rest = content[_HEAD.size :]
+    remaining = content[_HEAD.size :]
     for count, size in zip(counts, sizes, strict=True):
-        part, rest = _split_at(rest, count * size)
+        part, remaining = _split_at(remaining, count * size)
         parts.append(part)
-    return [*parts, rest]
+    return [*parts, remaining]
 
 
 def _split_at(octets: bytes, length: int) -> tuple[bytes, bytes]:
-    """Return the first octets and the rest; raise MalformedGossip."""
+    """Split after a length; raise MalformedGossip if it is exceeded."""
     if length > len(octets):
         raise MalformedGossip(len(octets))
     return octets[:length], octets[length:]
@@ -154,8 +154,8 @@
 
 
 def _iterate_infos(octets: bytes) -> Iterator[BalancerInfo]:
-    for host, *rest in _BALANCER_INFO.iter_unpack(octets):
-        yield BalancerInfo(socket.inet_ntoa(host), *rest)
+    for host, *fields in _BALANCER_INFO.iter_unpack(octets):
+        yield BalancerInfo(socket.inet_ntoa(host), *fields)
 
 
 def _iterate_hosts(octets: bytes) -> Iterator[str]:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
@@ -41,7 +41,7 @@
         make_stamp: Callable[[], Stamp],
         control_port: int,
     ) -> None:
-        """Take the port on which all balancers serve their catalogs."""
+        """Initialize; all balancers serve catalogs on ``control_port``."""
         self.process = process
         self.peers = peers
         self.balancer_infos = balancer_infos
@@ -79,7 +79,7 @@
             self._send_to_peer(host, wants_reply=wants_reply)
 
     def broadcast(self, effect: SendToBalancers) -> None:
-        """Send an envelope with other contents to the other balancers."""
+        """Send an envelope other than gossip to the other balancers."""
         envelope = Envelope(
             effect.kind,
             hop=0,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/costs.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/costs.py
@@ -1,6 +1,6 @@
 """Chooses the agent with the least expected latency for a new flow.
 
-The unit of cost is the work that one request takes at a typical upstream of
+The unit of cost is the service time of one request at a typical upstream of
 the service.  A flow with a single request goes where that request is expected
 to be answered first.  A long flow is placed by the share of the upstream's
 capacity that it takes, since it occupies that share for a long time.
@@ -28,7 +28,7 @@
 
     #: Busy requests per open flow.
     busy_per_flow: float
-    #: Median of the work of one request, in milliseconds; 0 if unknown.
+    #: Median of the upstreams' service times in milliseconds; 0 if unknown.
     work_ms: int
 
 
@@ -138,7 +138,7 @@
 
 
 def _compute_work_ratio(view: AgentView, typical: TypicalLoad) -> float:
-    """Return the work of a request at an upstream, relative to the typical.
+    """Return the service time at an upstream, as a ratio to the median.
 
     Small differences count as none: the values are means of few responses,
     reported in whole milliseconds.
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/state.py
@@ -32,7 +32,7 @@
         views: tuple[View, ...],
         evacuated: Mapping[str, int],
     ) -> bool:
-        """Return whether the order was made from these."""
+        """Return whether these upstreams and zones gave this order."""
         return self.views is views and self.evacuated == evacuated.keys()
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_search.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_search.py
@@ -149,9 +149,9 @@
 
     Raises MalformedEnvelope.
     """
-    lookup, sent = handle_lookup_answer(state, event)
+    response, sent = handle_lookup_answer(state, event)
     effects: list[PacketEffect] = list(sent)
-    for key, hosts in lookup.rows:
+    for key, hosts in response.rows:
         search = state.searches.get(key)
         if search is None:
             continue
@@ -164,7 +164,7 @@
             )
             continue
         search.named_owners.extend(hosts)
-        search.denying_nodes[event.sender] = lookup.digest
+        search.denying_nodes[event.sender] = response.digest
         if search.pending_host is None:
             effects.extend(resume_search(state, search, key, event.now))
     return tuple(effects)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/peer_bootstrap.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/peer_bootstrap.py
@@ -37,7 +37,7 @@
 
 
 def query_peer(state: PacketState, host: str, now: float) -> Effects:
-    """Query a balancer that is heard within INHERIT_SECONDS of the start.
+    """Query a balancer heard from within INHERIT_SECONDS of the start.
 
     The query is repeated with its later messages, since one may be lost.
     """
@@ -49,13 +49,13 @@
     if is_over or now - asked_at < defaults.INHERIT_INTERVAL_SECONDS:
         return ()
     state.catalog_gaps.queried_peers[host] = now
-    question = ServedHostsRequest(
+    request = ServedHostsRequest(
         state.catalog_gaps.first_revision,
         digest_served(_list_served(state)),
     )
     return (
         _make_message(
-            host, EnvelopeKind.SERVED_ASKED, pack_served_request(question)
+            host, EnvelopeKind.SERVED_ASKED, pack_served_request(request)
         ),
     )
 
@@ -85,12 +85,12 @@
     agents first; in a large fleet nothing else fits.
     """
     try:
-        question = unpack_served_request(event.envelope.content)
+        request = unpack_served_request(event.envelope.content)
     except MalformedEnvelope as error:
         return (Decided(error.code),)
     answered = state.catalog_gaps.answered_peers
-    is_answered = answered.get(event.sender) == question.first_revision
-    began_later = state.catalog_gaps.first_revision < question.first_revision
+    is_answered = answered.get(event.sender) == request.first_revision
+    began_later = state.catalog_gaps.first_revision < request.first_revision
     if is_answered or not state.has_catalog or not began_later:
         return ()
     served = _list_served(state)
@@ -98,11 +98,11 @@
         ServedHost(view.host, view.service_tag)
         for view in state.catalog_gaps.unlisted.values()
     ]
-    if not unlisted and digest_served(served) == question.digest:
+    if not unlisted and digest_served(served) == request.digest:
         return ()
     if len(answered) >= defaults.MAX_INHERITING:
         answered.clear()
-    answered[event.sender] = question.first_revision
+    answered[event.sender] = request.first_revision
     content = pack_served((*unlisted, *served)[:MAX_SERVED_HOSTS])
     return (_make_message(event.sender, EnvelopeKind.SERVED_TOLD, content),)
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/peers.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/peers.py
@@ -113,7 +113,7 @@
             self._record_change(PeerChange(host, incarnation, PeerStatus.ALIVE))
         elif is_new or was_suspected:
             # Send the suspicion to it, so that it refutes what other balancers
-            # may still believe.
+            # may still record.
             self._record_change(PeerChange(host, known, PeerStatus.SUSPECTED))
         self.unconfirmed.update(
             other for other in mentioned if other != self.own_host
@@ -154,8 +154,8 @@
     def should_probe(self, host: str, position: int) -> bool:
         """Return whether to probe a receiver.
 
-        That is the first one of a round, and any that owes a reply or is
-        suspected.
+        That is the first one of a round, and any that is suspected or has not
+        replied to a probe.
         """
         return (
             not position
@@ -164,7 +164,7 @@
         )
 
     def start_probe(self, host: str, now: float) -> bool:
-        """Expect a reply from a host; return whether to ask it for one."""
+        """Start to await a reply; return whether to request one."""
         if self.is_small_fleet or host not in self.last_heard:
             return False
         if host not in self.suspected:
@@ -179,8 +179,8 @@
     ) -> list[str]:
         """Return the receivers of a message: all, or a few in turn if many.
 
-        Balancers that owe a reply are included each time, as are those under
-        suspicion.
+        Balancers that have not replied to a probe are included each time, as
+        are those under suspicion.
         """
         hosts = list(
             dict.fromkeys((*self.last_heard, *self.unconfirmed, *self.seeds))
@@ -200,13 +200,13 @@
         # The other hosts follow in the next rounds.
         self.first_receiver = (self.first_receiver + fanout) % len(hosts)
         chosen = (hosts * 2)[self.first_receiver : self.first_receiver + fanout]
-        waiting = (*self.awaiting_reply, *self.suspected)[
+        probed_hosts = (*self.awaiting_reply, *self.suspected)[
             : defaults.GOSSIP_FANOUT
         ]
-        return list(dict.fromkeys((*chosen, *waiting)))
+        return list(dict.fromkeys((*chosen, *probed_hosts)))
 
     def list_recent_peers(self) -> tuple[str, ...]:
-        """Return the balancers to mention to peers, the latest heard first."""
+        """Return the balancers to mention to peers, latest message first."""
         latest = sorted(
             self.last_heard, key=self.last_heard.__getitem__, reverse=True
         )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
@@ -121,7 +121,7 @@
 
 
 def _is_owner_lost(owner: AgentView, now: float) -> bool:
-    """Return whether an owner has left for good."""
+    """Return whether an owner is gone permanently."""
     if owner.is_replaced:
         return True
     since = owner.missing_since
@@ -188,7 +188,7 @@
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
-    """Send an agent that has just started what it cannot read itself."""
+    """Send a notice to an agent that has just started."""
     notice = make_notice(state, view, event.now)
     return (view.send(EnvelopeKind.ASK, notice, REPORT_FORMAT),)
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/rotation.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/rotation.py
@@ -20,7 +20,7 @@
 
 
 def has_slow_link(own: BalancerInfo, others: list[BalancerInfo]) -> bool:
-    """Return whether to leave the callers of the zone to the others."""
+    """Return whether this balancer should withdraw for its slow link."""
     fast_megabits = own.link_megabits * defaults.SLOW_LINK_FACTOR
     fast = [one for one in others if one.link_megabits >= fast_megabits]
     if not own.link_megabits or len(fast) < defaults.MIN_FAST_LINKS:
@@ -32,7 +32,7 @@
 
 
 class _Target(NamedTuple):
-    """What the links of the zone call for, and since when."""
+    """Whether the links of the zone require withdrawal, and since when."""
 
     is_withdrawn: bool
     since: float
@@ -52,7 +52,7 @@
         """Return whether to stay out of rotation from now on.
 
         The balancer returns at once, since callers may need it.  It withdraws
-        only after the links have called for it for some time, since the
+        only after the links have required it for some time, since the
         routers move nearly all flows of the zone with each change.
         """
         is_withdrawn = has_slow_link(own, others)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/suspended_searches.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/suspended_searches.py
@@ -64,16 +64,16 @@
 
 
 def retry_lookups(state: PacketState, host: str, now: float) -> Effects:
-    """Repeat the lookups of a directory node that is heard but did not answer.
+    """Repeat the lookups that a directory node, though alive, did not answer.
 
     It started after the lookup was sent, so nothing received it.  The lookup
-    is repeated once only: a node that is heard but never answers must not
+    is repeated once only: a node that is alive but never answers must not
     delay searches.
     """
     node = state.directory_nodes.get(host)
-    if node is None or node.asked_at is None or node.was_asked_again:
+    if node is None or node.lookup_sent_at is None or node.was_lookup_repeated:
         return ()
-    if now - node.asked_at < defaults.SEARCH_STEP_TIMEOUT_SECONDS:
+    if now - node.lookup_sent_at < defaults.SEARCH_STEP_TIMEOUT_SECONDS:
         return ()
     for key, search in state.searches.items():
         if search.is_suspended or search.pending_host is not None:
@@ -81,6 +81,6 @@
         if search.has_unanswered_lookup(host):
             search.pending_lookups.add(host)
             search.pending_since = now
-            node.waiting[key] = None
-    node.was_asked_again = True
+            node.queued_keys[key] = None
+    node.was_lookup_repeated = True
     return send_queued_lookups(state, host, node, now)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/views.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/views.py
@@ -152,24 +152,23 @@
     """View of one node of a flow directory."""
 
     __slots__ = (
-        'asked_at',
+        'lookup_sent_at',
         'covered',
         'digest',
-        'was_asked_again',
+        'was_lookup_repeated',
         'parts',
-        'waiting',
+        'queued_keys',
     )
 
     def __init__(self) -> None:
-        """Start without any question sent to the node."""
-        #: Keys of flows to ask for as soon as it has answered.
-        self.waiting: dict[bytes, None] = {}
-        #: When the question was sent that it has not answered; None if it
-        #: has answered all.
-        self.asked_at: float | None = None
-        #: Whether that question was repeated when another message came from
-        #: the node first.
-        self.was_asked_again = False
+        """Start without any lookup sent to the node."""
+        #: Keys of flows to look up as soon as it has answered.
+        self.queued_keys: dict[bytes, None] = {}
+        #: When the unanswered lookup was sent; None if all are answered.
+        self.lookup_sent_at: float | None = None
+        #: Whether that lookup was repeated when another message came from the
+        #: node first.
+        self.was_lookup_repeated = False
         #: Digest of the hosts in ``covered``.
         self.digest = 0
         #: Hosts of which the node knows all flows.
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -349,8 +349,8 @@
         search = self.state.searches[FLOW.key]
         search.denying_nodes.pop(FIRST)
         node = self.state.directory_nodes[FIRST]
-        node.asked_at = self.now
-        node.was_asked_again = False
+        node.lookup_sent_at = self.now
+        node.was_lookup_repeated = False
         self.now += defaults.SEARCH_STEP_TIMEOUT_SECONDS
         self.report(FIRST)
         self.assertEqual(search.pending_lookups, set())
