--- a/packages/keelgap/src/keelgap/catalog/effects.py
+++ b/packages/keelgap/src/keelgap/catalog/effects.py
@@ -44,7 +44,7 @@
 
 
 class EntriesChanged(NamedTuple):
-    """Entries were written or deleted."""
+    """Update the catalog: entries were written or deleted."""
 
     keys: tuple[str, ...]
     #: Revision of the store up to which all changes are known.
@@ -60,13 +60,13 @@
 
 
 class StoreLost(NamedTuple):
-    """A request failed after the previous one succeeded."""
+    """Log that the store was lost: a request failed after one succeeded."""
 
     reason: str
 
 
 class StoreRegained(NamedTuple):
-    """A request succeeded after earlier ones failed."""
+    """Log that the store is back: a request succeeded after failures."""
 
     after_seconds: float
 
--- a/packages/keelgap/src/keelgap/packets/directory_messages.py
+++ b/packages/keelgap/src/keelgap/packets/directory_messages.py
@@ -113,9 +113,9 @@
     return Registration._make((*head, keys))
 
 
-def pack_lookup_request(question: LookupRequest) -> bytes:
+def pack_lookup_request(request: LookupRequest) -> bytes:
     """Encode a lookup request."""
-    return _DIGEST.pack(question.digest) + b''.join(question.keys)
+    return _DIGEST.pack(request.digest) + b''.join(request.keys)
 
 
 def unpack_lookup_request(content: bytes) -> LookupRequest:
@@ -125,14 +125,14 @@
     return LookupRequest(digest, keys)
 
 
-def pack_lookup_response(lookup: LookupResponse) -> bytes:
+def pack_lookup_response(response: LookupResponse) -> bytes:
     """Encode a lookup response as one record per key and host."""
     rows = [
         key + host
-        for key, hosts in lookup.rows
+        for key, hosts in response.rows
         for host in (tuple(map(socket.inet_aton, hosts)) or (_NO_HOST,))
     ]
-    return _DIGEST.pack(lookup.digest) + b''.join(rows)
+    return _DIGEST.pack(response.digest) + b''.join(rows)
 
 
 def unpack_lookup_response(content: bytes) -> LookupResponse:
--- a/packages/keelgap/src/keelgap/packets/features.py
+++ b/packages/keelgap/src/keelgap/packets/features.py
@@ -50,7 +50,7 @@
     scheduling: FeatureMode = FeatureMode.AUTO
     #: Place new flows at the upstream with the earliest expected response.
     placement: FeatureMode = FeatureMode.AUTO
-    #: Refuse early what cannot be served in time: ``room`` in the agent,
+    #: Refuse early what cannot be served in time: ``capacity`` in the agent,
     #: ``admission`` in the balancer.  Off by default, because it serves fewer
     #: of the callers whose zone has less capacity than others.
     admission: FeatureMode = FeatureMode.OFF
