--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
@@ -15,7 +15,7 @@
     'Excess',
     'find_excess',
     'get_queue',
-    'has_enough_refusals',
+    'has_enough_late_declines',
     'list_full_hosts',
 )
 
@@ -35,7 +35,9 @@
     key: bytes,
     now: float,
 ) -> Excess | None:
-    """Return the excess of a caller that had at least its share, or None.
+    """Return by how much a caller exceeds its fair share, or None.
+
+    None is returned for a caller below its share, and if no level applies.
 
     If an upstream reports a free slot, the level is too low and is raised.
     """
@@ -45,9 +47,9 @@
     if level is None:
         return None
     views = state.agents_by_service.get(queue.service, ())
-    if any(_is_idle(view, now) for view in views):
+    if any(_has_free_slot(view, now) for view in views):
         shares.raise_level(queue, now)
-    recent_flows = shares.read(queue, get_caller_host(key), now)
+    recent_flows = shares.get_recent_flows(queue, get_caller_host(key), now)
     return None if recent_flows < level else Excess(recent_flows, level)
 
 
@@ -56,14 +58,14 @@
     return Queue(choose_service(route, key), route.priority)
 
 
-def has_enough_refusals(search: FlowSearch) -> bool:
-    """Return whether enough agents refused a flow for lack of time.
+def has_enough_late_declines(search: FlowSearch) -> bool:
+    """Return whether enough agents declined a flow for lack of time.
 
-    After that, only agents whose reports show free capacity are asked.  A
-    single refusal is not enough, since reports may be some ten milliseconds
-    old.  A balancer without messages from agents refuses no flow.
+    After that, only agents whose reports show free capacity are asked.  One
+    agent that declines is not enough, since reports may be some ten
+    milliseconds old.  A balancer without messages from agents refuses no flow.
     """
-    return search.time_refusals >= defaults.MIN_TIME_REFUSALS
+    return search.late_declines >= defaults.MIN_LATE_DECLINES
 
 
 def list_full_hosts(
@@ -82,11 +84,19 @@
         route.target_seconds - state.caller_waits.get_request_age(key, now), 0
     )
     return {
-        view.host for view in views if _is_full(view, remaining_seconds, now)
+        view.host
+        for view in views
+        if _starts_too_late(view, remaining_seconds, now)
     }
 
 
-def _is_full(view: AgentView, remaining_seconds: float, now: float) -> bool:
+def _starts_too_late(
+    view: AgentView, remaining_seconds: float, now: float
+) -> bool:
+    """Return whether a new request is unlikely to start in the time left.
+
+    An agent that does not respond counts, too.
+    """
     if view.is_unresponsive(now):
         return True
     report = view.report
@@ -96,8 +106,8 @@
     return queue_length * work_ms / slots > remaining_seconds * _MILLISECONDS
 
 
-def _is_idle(view: AgentView, now: float) -> bool:
-    """Return whether an upstream has a free slot, as far as is known."""
+def _has_free_slot(view: AgentView, now: float) -> bool:
+    """Return whether an upstream has a free slot, judging by its report."""
     if not view.accepts_flows() or view.is_unresponsive(now):
         return False
     return view.report.busy + view.flows_since_report < view.upstream.slots
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/balancer_infos.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/balancer_infos.py
@@ -15,7 +15,7 @@
 
 
 class BalancerInfo(NamedTuple):
-    """What a balancer announces about itself."""
+    """Availability zone and link bandwidth that a balancer announces."""
 
     host: str
     #: Increased with each change of the other fields.
@@ -27,12 +27,13 @@
 
 
 class BalancerInfoTable:
-    """What one balancer knows about itself and the others."""
+    """Zones and links of one balancer and of the others it knows."""
 
     def __init__(self, own: str, availability_zone: str, version: int) -> None:
         """Start as a balancer that takes no callers yet."""
         tag = compute_service_tag(availability_zone)
         self.own = BalancerInfo(own, version, tag, 0)
+        #: Latest infos of the other balancers, by host.
         self.known: dict[str, BalancerInfo] = {}
         #: How often the latest info of each host is still to be relayed.
         self.remaining_sends: dict[str, int] = {}
@@ -49,7 +50,10 @@
         return True
 
     def merge(self, infos: Iterable[BalancerInfo]) -> None:
-        """Merge infos from a message; ignore those of an older version."""
+        """Store infos of other balancers that are newer than the known ones.
+
+        A new info is scheduled to be relayed.
+        """
         for balancer in infos:
             known = self.known.get(balancer.host)
             is_new = known is None or balancer.version > known.version
@@ -61,7 +65,10 @@
                 )
 
     def take_updates(self) -> tuple[BalancerInfo, ...]:
-        """Return the infos to send: the own one, and the latest of others."""
+        """Return the own info and those of others to relay in one message.
+
+        The number of relays left for each of them is decremented.
+        """
         ranked = sorted(
             self.remaining_sends,
             key=self.remaining_sends.__getitem__,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/caller_waits.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/caller_waits.py
@@ -26,7 +26,7 @@
 
 
 class WaitEstimate(NamedTuple):
-    """For how many seconds a caller has been waiting."""
+    """Estimate of how long a caller has been waiting for a new flow."""
 
     #: Seconds since the first packet of this flow.
     flow_seconds: float
@@ -42,10 +42,10 @@
     *,
     is_first_try: bool,
 ) -> CallerWait:
-    """Return how long a caller has waited and will wait, for an agent.
+    """Return what an agent is told of how long a caller waited and will wait.
 
-    If this balancer may have missed an earlier attempt of the caller, this
-    one may be its second.
+    If it may not be the first try, as this balancer may have missed an earlier
+    one, the time for which the caller will surely wait is reduced.
     """
     request_seconds = route.timeout_seconds - waited.request_seconds
     assured_seconds = request_seconds - waited.uncertainty
@@ -74,17 +74,20 @@
 
 
 class CallerWaits:
-    """Flow openings without an outcome, with the waiting time of callers."""
+    """Openings of flows not known to be open, to estimate callers' waits."""
 
     def __init__(self, now: float) -> None:
         """Start without openings."""
         #: When the latest packet of any caller arrived.
         self.last_packet_at = now
+        #: Openings by flow key.
         self.openings: dict[bytes, _Opening] = {}
+        #: Flow keys in ``openings``, by the address of the caller.
         self.by_host: dict[bytes, list[bytes]] = {}
         self.shares = CallerShares()
         #: Refused callers that are still to be announced to other balancers.
         self.unannounced: list[RefusedCaller] = []
+        #: When refused callers were last announced.
         self.announced_at = float('-inf')
 
     def record_opening(
@@ -94,9 +97,9 @@
         opening = self.openings.get(key)
         if opening is None:
             started_at = now - estimate_open_wait(retransmissions)
-            opening = self._continue_given_up(key, started_at)
+            opening = self._make_opening(key, started_at)
             if len(self.openings) < defaults.MAX_OPENINGS:
-                self._add(key, opening)
+                self._add_opening(key, opening)
         return WaitEstimate(
             now - opening.started_at,
             now - opening.requested_at,
@@ -104,12 +107,15 @@
         )
 
     def was_refused(self, key: bytes) -> bool:
-        """Return whether this flow or the previous attempt was refused."""
+        """Return whether this flow or an earlier try of it was refused."""
         opening = self.openings.get(key)
         return opening is not None and opening.refusals > 0
 
     def get_request_age(self, key: bytes, now: float) -> float:
-        """Return for how many seconds the caller of an opening has waited."""
+        """Return the seconds since the first try of an opening's request.
+
+        For an unknown opening that is 0.
+        """
         opening = self.openings.get(key)
         return 0 if opening is None else now - opening.requested_at
 
@@ -120,7 +126,7 @@
             self.openings[key] = opening._replace(forwarded_at=now)
 
     def may_be_open(self, key: bytes, now: float) -> bool:
-        """Return whether a flow may have been opened in the meantime.
+        """Return whether a flow may be open without this balancer's knowledge.
 
         A copy of the opening packet may have gone through another balancer
         and been answered after this one last forwarded a packet.
@@ -130,17 +136,20 @@
             return True
         return now - opening.forwarded_at > defaults.ANSWERED_ELSEWHERE_SECONDS
 
-    def is_abandoned(self, key: bytes, now: float) -> bool:
-        """Return whether the caller has given up the opening."""
+    def has_caller_given_up(self, key: bytes, now: float) -> bool:
+        """Return whether the caller of an opening has stopped waiting for it.
+
+        For an unknown opening that is true.
+        """
         opening = self.openings.get(key)
         if opening is None:
             return True
         return now - opening.started_at >= defaults.ABANDON_SECONDS
 
     def record_opened(self, key: bytes) -> None:
-        """Forget an opening whose flow is open."""
+        """Forget the opening of a flow that is known to be open, if any."""
         if key in self.openings:
-            self._remove(key)
+            self._remove_opening(key)
 
     def record_reset(self, key: bytes, now: float, searched: float = 0) -> None:
         """Expect a retry from the caller of a flow that is reset.
@@ -158,8 +167,8 @@
         else:
             requested_at = opening.requested_at
             uncertainty = opening.uncertainty
-            self._remove(key)
-        self._add(key, _Opening(given_up, requested_at, uncertainty))
+            self._remove_opening(key)
+        self._add_opening(key, _Opening(given_up, requested_at, uncertainty))
 
     def expire(self, now: float) -> None:
         """Forget openings that were given up and not retried in time."""
@@ -172,7 +181,7 @@
             if opening.started_at < oldest_start
         ]
         for key in old:
-            self._remove(key)
+            self._remove_opening(key)
 
     def record_refusal(self, key: bytes, now: float) -> None:
         """Expect a retry from the caller of a refused flow.
@@ -183,7 +192,7 @@
         opening = self.openings.get(key)
         if opening is None:
             return
-        self._remove(key)
+        self._remove_opening(key)
         age_ms = round((now - opening.requested_at) * _MILLISECONDS)
         caller = RefusedCaller(key, age_ms, opening.refusals + 1)
         if caller.refusals < defaults.MAX_CALLER_TRIES:
@@ -191,7 +200,10 @@
             self.unannounced.append(caller)
 
     def expect_retry(self, caller: RefusedCaller, now: float) -> None:
-        """Treat the next new flow of a refused caller as a retry."""
+        """Treat the next new flow of a refused caller's host as its retry.
+
+        Does nothing while MAX_OPENINGS openings are recorded.
+        """
         if len(self.openings) >= defaults.MAX_OPENINGS:
             return
         since = defaults.ABANDON_SECONDS + defaults.RETRY_WINDOW_SECONDS
@@ -200,24 +212,28 @@
             now - caller.age_ms / _MILLISECONDS,
             refusals=caller.refusals,
         )
-        self._add(caller.key, opening)
+        self._add_opening(caller.key, opening)
 
-    def _continue_given_up(self, key: bytes, started_at: float) -> _Opening:
-        """Return an opening with the age of the one that it may retry."""
+    def _make_opening(self, key: bytes, started_at: float) -> _Opening:
+        """Return a new opening, with the age of the one that it may retry.
+
+        That is an earlier one of the same host which its caller has given up.
+        It is removed.
+        """
         latest_start = started_at - defaults.ABANDON_SECONDS
         for other in self.by_host.get(get_caller_host(key), ()):
             opening = self.openings[other]
             if opening.started_at <= latest_start:
-                self._remove(other)
+                self._remove_opening(other)
                 return opening._replace(started_at=started_at)
         return _Opening(started_at, started_at)
 
-    def _add(self, key: bytes, opening: _Opening) -> None:
+    def _add_opening(self, key: bytes, opening: _Opening) -> None:
         if key not in self.openings:
             self.by_host.setdefault(get_caller_host(key), []).append(key)
         self.openings[key] = opening
 
-    def _remove(self, key: bytes) -> None:
+    def _remove_opening(self, key: bytes) -> None:
         self.openings.pop(key)
         host = get_caller_host(key)
         keys = self.by_host[host]
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/catalog_changes.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/catalog_changes.py
@@ -14,7 +14,7 @@
 from keelgap_balancer.packets.unlisted_agents import record_displaced
 from keelgap_balancer.packets.views import AgentView
 
-__all__ = ('change_catalog', 'forget_former_routes', 'forget_gone')
+__all__ = ('change_catalog', 'forget_former_routes', 'forget_missing_upstreams')
 
 Effects = tuple[PacketEffect, ...]
 
@@ -24,7 +24,7 @@
     catalog: Catalog,
     now: float,
 ) -> Effects:
-    """Make a catalog the current one.
+    """Put a catalog in force; return log lines and messages to agents.
 
     Removed routes and upstreams are kept for a while, so that their open
     flows are still found.
@@ -56,7 +56,10 @@
     before: Catalog,
     now: float,
 ) -> Effects:
-    """Report changes of the availability zones that are out of service."""
+    """Log the availability zones that left or resumed service.
+
+    The agents of these zones are notified, too.
+    """
     evacuated = state.catalog.evacuated
     left = evacuated.keys() - before.evacuated.keys()
     returned = before.evacuated.keys() - evacuated.keys()
@@ -79,6 +82,7 @@
     catalog: Catalog,
     now: float,
 ) -> None:
+    """Index the routes by key, and keep removed ones for their open flows."""
     make_key = state.format.make_route_key
     routes = {
         make_key(route.host, route.port): route
@@ -122,7 +126,7 @@
     return tuple(
         decision
         for change, ids in changed.items()
-        for decision in _log_change(change, ids, catalog)
+        for decision in _log_upstream_changes(change, ids, catalog)
     )
 
 
@@ -131,7 +135,7 @@
     upstream: PacketUpstream,
     now: float,
 ) -> str:
-    """Apply the entry of an upstream; return the change, or '' for none."""
+    """Apply the entry of an upstream; return the logged change, or ''."""
     identity = upstream.identity
     view = state.agents.get(identity)
     if view is None:
@@ -164,7 +168,11 @@
     catalog: Catalog,
     now: float,
 ) -> str:
-    """Handle an upstream process without an entry; return the change."""
+    """Mark an upstream process without an entry; return the logged change.
+
+    If the entry of another process has replaced its entry, it has restarted
+    and is forgotten at once.
+    """
     if identity.upstream_id in catalog.upstreams:
         _replace_process(state, identity, now)
         return 'restarted'
@@ -187,7 +195,7 @@
     state.missing.discard(identity)
 
 
-def _log_change(
+def _log_upstream_changes(
     change: str,
     upstream_ids: list[str],
     catalog: Catalog,
@@ -215,7 +223,7 @@
 
 
 def _rebuild_indexes(state: PacketState) -> None:
-    """Index the agents by service and by host.
+    """Index agents by service and host, and drop what the indexes outdate.
 
     An address may be reused before the entry of its former upstream expires.
     Of two upstreams on one host, one with an entry takes precedence over one
@@ -246,7 +254,10 @@
     state: PacketState,
     agents_by_host: dict[str, AgentView],
 ) -> None:
-    """Make searches ask the hosts again that have another upstream now."""
+    """Forget answers of hosts that have another upstream now.
+
+    The searches for owners query these hosts again.
+    """
     changed = {
         host
         for host, view in agents_by_host.items()
@@ -261,6 +272,7 @@
 
 
 def _get_host_precedence(view: AgentView) -> tuple[bool, int]:
+    """Return a sort key; of two upstreams on one host the higher one wins."""
     return view.missing_since is None, view.upstream.revision
 
 
@@ -275,19 +287,20 @@
         state.former_routes.pop(key)
 
 
-def _is_expired(view: AgentView, now: float) -> bool:
+def _should_forget(view: AgentView, now: float) -> bool:
+    """Return whether its entry and messages have both long been missing."""
     since = view.missing_since
     if since is None or now - since <= defaults.MISSING_ENTRY_SECONDS:
         return False
     return now - view.last_heard > defaults.MISSING_ENTRY_SECONDS
 
 
-def forget_gone(state: PacketState, now: float) -> None:
-    """Forget upstreams whose entry has been missing for too long."""
+def forget_missing_upstreams(state: PacketState, now: float) -> None:
+    """Forget upstreams that have long had no entry and sent no message."""
     expired = [
         identity
         for identity in state.missing
-        if _is_expired(state.agents[identity], now)
+        if _should_forget(state.agents[identity], now)
     ]
     for identity in expired:
         state.agents.pop(identity)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/dead_flows.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/dead_flows.py
@@ -1,8 +1,9 @@
 """Decide when an open flow is dead, and reset it towards its caller.
 
 A flow is dead once each upstream of its route is known not to hold it: either
-its own agent denied the flow, or both directory nodes did on its behalf.  A
-missing answer is not a denial.
+its own agent denied the flow, or both directory nodes did on its behalf: the
+agents that record the owners of such flows.  A missing answer is not a denial.
+The log calls the decision that a flow is dead the verdict.
 """
 
 from keelgap.catalog.models import PacketRoute
@@ -40,7 +41,10 @@
 def list_route_agents(
     state: PacketState, route: PacketRoute
 ) -> list[AgentView]:
-    """Return the agents that may serve a route, whether or not listed."""
+    """Return the agents that may serve a route, listed or unlisted.
+
+    See ``unlisted_agents``.
+    """
     listed = [
         view
         for share in route.shares
@@ -54,7 +58,7 @@
     route: PacketRoute,
     key: bytes,
 ) -> tuple[str, ...]:
-    """Return the directory nodes in charge of a flow of a route."""
+    """Return the hosts of the directory nodes responsible for a flow."""
     directories = (
         state.directories.get(share.service) for share in route.shares
     )
@@ -71,7 +75,10 @@
     search: FlowSearch,
     hosts: tuple[str, ...],
 ) -> list[str]:
-    """Return the hosts that are not known to serve the route of a search."""
+    """Return the hosts that are not known to serve the route of a search.
+
+    If the route itself is unknown, none is returned.
+    """
     route = state.find_route(search.latest_packet)
     if route is None:
         return []
@@ -90,24 +97,24 @@
     An agent is ruled out if it denied the flow itself, or if at least
     ``required_denials`` of the directory nodes that cover it did.
     """
-    denying = tuple(
+    denying_nodes = tuple(
         host
         for host in directory_nodes
         if _is_denial_current(state, search, host)
     )
-    uncovered = _list_uncovered(state, route, denying, required_denials)
+    uncovered = _list_uncovered(state, route, denying_nodes, required_denials)
     candidates = dict.fromkeys(
         (*uncovered, *_list_named_owners(state, route, search)),
     )
-    return [view for view in candidates if view.host not in search.missed]
+    return [view for view in candidates if view.host not in search.denied_by]
 
 
 def _is_denial_current(
     state: PacketState, search: FlowSearch, host: str
 ) -> bool:
-    """Return whether a node denied a flow for its present list of agents."""
+    """Return whether a node denied a flow and still covers the same agents."""
     node = state.directory_nodes.get(host)
-    return node is not None and search.denying_nodes.get(host) == node.digest
+    return node is not None and search.answer_digests.get(host) == node.digest
 
 
 def _list_named_owners(
@@ -115,7 +122,10 @@
     route: PacketRoute,
     search: FlowSearch,
 ) -> list[AgentView]:
-    """Return the agents named as owners: only they can deny the flow."""
+    """Return the agents that directory nodes named as owners.
+
+    Such an agent is ruled out only by its own denial.
+    """
     views = (find_agent(state, route, host) for host in search.named_owners)
     return [view for view in views if view is not None]
 
@@ -123,21 +133,24 @@
 def _list_uncovered(
     state: PacketState,
     route: PacketRoute,
-    denying: tuple[str, ...],
+    denying_nodes: tuple[str, ...],
     required_denials: int,
 ) -> tuple[AgentView, ...]:
-    """Return the agents covered by fewer nodes than ``required_denials``.
+    """Return the agents covered by too few of the nodes that denied a flow.
 
-    After an outage hundreds of flows need the same result.  Without the cache,
-    concluding a search among 1,000 upstreams took 2.3 ms instead of 0.1 ms.
+    The result is cached, since hundreds of flows need the same one after an
+    outage.  Without the cache, concluding a search among 1,000 upstreams took
+    2.3 ms instead of 0.1 ms.
     """
-    digests = tuple(
-        (host, state.directory_nodes[host].digest) for host in denying
+    node_digests = tuple(
+        (host, state.directory_nodes[host].digest) for host in denying_nodes
     )
-    key = (route.shares, digests, required_denials)
+    key = (route.shares, node_digests, required_denials)
     agents = state.catalog_gaps.uncovered_agents.get(key)
     if agents is None:
-        covered = [state.directory_nodes[host].covered for host in denying]
+        covered = [
+            state.directory_nodes[host].covered for host in denying_nodes
+        ]
         agents = tuple(
             view
             for view in list_route_agents(state, route)
@@ -168,6 +181,7 @@
     that appear in the meantime are queried.
     """
     if not search.query_count:
+        # Nobody was asked, so nothing proves that the flow is dead.
         state.searches.pop(key, None)
         return (Decided('search_without_upstream'),)
     fields = {
@@ -178,8 +192,8 @@
         'revision': state.confirmed_revision,
         **_describe_denials(state, route, search),
     }
-    # Updated at each attempt: a change announced after the denials may still
-    # be older than the flow.
+    # Updated at each attempt: a change announced after the denials may be
+    # older than the flow, and add the upstream that holds it.
     search.required_revision = (
         state.latest_change if state.is_catalog_stale else 0
     )
@@ -204,14 +218,14 @@
     """Return log fields with the agents and nodes that denied a flow."""
     directory_nodes = {
         host: len(state.directory_nodes[host].covered)
-        for host in search.denying_nodes
+        for host in search.answer_digests
         if host in state.directory_nodes
     }
     return {
         'members': len(list_route_agents(state, route)),
         'nodes': directory_nodes,
-        'denied_by': len(search.missed),
-        'denied_by_hosts': sorted(search.missed)[:MAX_LISTED],
+        'denied_by': len(search.denied_by),
+        'denied_by_hosts': sorted(search.denied_by)[:MAX_LISTED],
         'known_change': state.latest_change,
     }
 
@@ -231,7 +245,7 @@
     name: str,
     fields: dict[str, object],
 ) -> Effects:
-    """Log a suspension once for each search.
+    """Log an event of a suspended search, unless it was logged for it before.
 
     Hundreds of searches may be suspended again with each catalog.
     """
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
@@ -12,7 +12,7 @@
     'REFUSED_INTERVAL_SECONDS',
     'REFUSED_RETRY_SECONDS',
     'MAX_CALLER_TRIES',
-    'MIN_TIME_REFUSALS',
+    'MIN_LATE_DECLINES',
     'LEVEL_FALL',
     'LEVEL_JUMP',
     'LEVEL_PAUSE_SECONDS',
@@ -370,7 +370,7 @@
 #: Number of agents that must refuse a new flow for lack of time before the
 #: balancer refuses it.  The reports by which they were chosen were up to 50 ms
 #: old.
-MIN_TIME_REFUSALS: Final = 3
+MIN_LATE_DECLINES: Final = 3
 
 #: Time constant for the decay of a caller's recent flows.  One balancer among
 #: many sees a few flows of each caller in this time.
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/directory_client.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/directory_client.py
@@ -59,7 +59,7 @@
     effects: list[PacketEffect] = []
     for service, directory in state.directories.items():
         if previous.get(service, NO_DIRECTORY).shards != directory.shards:
-            effects.extend(_notify_same_zone(state, service, now))
+            effects.extend(_notify_zone_agents(state, service, now))
     return tuple(effects)
 
 
@@ -67,7 +67,10 @@
     state: PacketState,
     views: tuple[AgentView, ...],
 ) -> FlowDirectory:
-    """Return the directory of a service, kept by its hosts with an entry."""
+    """Return the directory of a service, whose nodes are its active hosts.
+
+    Hosts without an entry in the catalog are left out.
+    """
     hosts = sorted(
         view.host
         for view in views
@@ -76,7 +79,13 @@
     return make_directory(state.catalog.revision, hosts, defaults.MAX_ASKED)
 
 
-def _notify_same_zone(state: PacketState, service: str, now: float) -> Effects:
+def _notify_zone_agents(
+    state: PacketState, service: str, now: float
+) -> Effects:
+    """Send a notice to each agent of a service in the own availability zone.
+
+    It names the nodes of the service's directory.
+    """
     return tuple(
         view.send(
             EnvelopeKind.ASK,
@@ -91,7 +100,10 @@
 def queue_lookup(
     state: PacketState, host: str, key: bytes, now: float
 ) -> Effects:
-    """Look up a flow at a directory node, or queue it if the node is busy."""
+    """Look up a flow at a directory node, with any that are queued for it.
+
+    While an answer of the node is pending, the flow is only queued.
+    """
     node = state.directory_nodes.setdefault(host, DirectoryNodeView())
     node.queued_keys[key] = None
     lookup_sent_at = node.lookup_sent_at
@@ -105,7 +117,7 @@
     state: PacketState,
     event: EnvelopeArrived,
 ) -> tuple[LookupResponse, Effects]:
-    """Return a node's answer and the next lookup to send to the node.
+    """Return the answer in an envelope, and the next lookup for its sender.
 
     Raises MalformedEnvelope.
     """
@@ -117,9 +129,9 @@
 
 
 def handle_coverage(state: PacketState, event: EnvelopeArrived) -> bool:
-    """Store one part of a node's coverage; return whether it is complete.
+    """Store one part of a node's list of the agents it covers.
 
-    Raises MalformedEnvelope.
+    Returns whether the list is complete.  Raises MalformedEnvelope.
     """
     coverage = unpack_coverage(event.envelope.content)
     node = state.directory_nodes.setdefault(event.sender, DirectoryNodeView())
@@ -140,7 +152,7 @@
 
 
 def notify_uncovered(state: PacketState, host: str, now: float) -> Effects:
-    """Send the directory to agents that one of its nodes does not cover yet.
+    """Tell agents that a directory node does not cover which nodes exist.
 
     They may have just started, and their next poll may be far away.
     """
@@ -164,7 +176,10 @@
     node: DirectoryNodeView,
     now: float,
 ) -> Effects:
-    """Look up the flows that are queued for a directory node."""
+    """Send one lookup for flows that are queued for a directory node.
+
+    It holds at most MAX_KEYS_PER_MESSAGE flows; the others stay queued.
+    """
     keys = tuple(islice(node.queued_keys, MAX_KEYS_PER_MESSAGE))
     view = state.agents_by_host.get(host)
     if view is None or not keys:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/effects.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/effects.py
@@ -24,8 +24,9 @@
 
 
 class SendToBalancers(NamedTuple):
-    """Send a message to the other balancers."""
+    """Send an envelope to the other balancers."""
 
+    #: An EnvelopeKind.
     kind: int
     content: bytes
 
@@ -48,7 +49,7 @@
 
 
 class Observed(NamedTuple):
-    """Record a duration in the histogram of a name and a service."""
+    """Record a duration in the histogram ``name`` for a service."""
 
     name: str
     service: str
@@ -69,7 +70,7 @@
 def keep_one_refresh(
     effects: tuple[PacketEffect, ...],
 ) -> tuple[PacketEffect, ...]:
-    """Merge the requests of one event to refresh the catalog into one.
+    """Drop repeated RefreshCatalog effects, and put the one kept first.
 
     After an outage thousands of searches may wait for the same catalog.
     """
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/ejection.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/ejection.py
@@ -34,7 +34,10 @@
     report: LoadReport,
     now: float,
 ) -> Effects:
-    """Apply the ejection state in an agent's report on its upstream."""
+    """Record the ejection state in a load report; log it if it changed.
+
+    The state includes whether the upstream waits for a trial flow.
+    """
     if not state.features.ejection:
         return ()
     awaiting_trial = state.ejections.awaiting_trial
@@ -49,7 +52,11 @@
         state.ejections.ejected_since[view] = now
     else:
         state.ejections.ejected_since.pop(view)
-    return (_log_change(state, view, now, is_ejected_now=report.is_ejected),)
+    return (
+        _log_ejection_change(
+            state, view, now, is_ejected_now=report.is_ejected
+        ),
+    )
 
 
 def forget_ejections(state: PacketState) -> None:
@@ -118,7 +125,10 @@
     view: AgentView,
     route: PacketRoute,
 ) -> EnvelopeKind:
-    """Return the kind of envelope that offers a new flow to an agent."""
+    """Return TRY to offer a new flow as a trial, and OPEN otherwise.
+
+    A trial goes to an ejected upstream and has idempotent requests.
+    """
     if route.is_idempotent and view in state.ejections.ejected_since:
         return EnvelopeKind.TRY
     return EnvelopeKind.OPEN
@@ -129,11 +139,14 @@
     views: tuple[AgentView, ...],
     now: float,
 ) -> bool:
-    """Return whether the upstreams that serve have enough of the slots."""
+    """Return whether the upstreams that are not ejected have enough slots.
+
+    That is MIN_SERVING_SHARE of the slots of all that can take flows.
+    """
     all_slots = 0
     ejected_slots = 0
     for view in views:
-        if _is_candidate(state, view, now):
+        if _can_take_flows(state, view, now):
             all_slots += view.upstream.slots
             ejected_slots += view.upstream.slots * (
                 view in state.ejections.ejected_since
@@ -142,12 +155,13 @@
 
 
 def _may_send_trial(state: PacketState, view: AgentView, now: float) -> bool:
+    """Return whether an upstream can take a trial flow and one is due."""
     is_due = now - view.last_trial_at >= defaults.TRIAL_INTERVAL_SECONDS
-    return is_due and _is_candidate(state, view, now)
+    return is_due and _can_take_flows(state, view, now)
 
 
-def _is_candidate(state: PacketState, view: AgentView, now: float) -> bool:
-    """Return whether new flows may go to an upstream, ejected or not."""
+def _can_take_flows(state: PacketState, view: AgentView, now: float) -> bool:
+    """Return whether an upstream can take flows, except for an ejection."""
     return (
         view.accepts_flows()
         and not view.is_unresponsive(now)
@@ -161,7 +175,10 @@
     route: PacketRoute,
     waited: float,
 ) -> bool:
-    """Return whether to leave the trial of an upstream to another flow."""
+    """Return whether to leave the trial of an upstream to a later flow.
+
+    ``waited`` is for how many seconds the upstream has awaited a trial.
+    """
     if not route.is_idempotent:
         return waited < defaults.ANY_TRIAL_SECONDS
     return (
@@ -169,7 +186,7 @@
     )
 
 
-def _log_change(
+def _log_ejection_change(
     state: PacketState,
     view: AgentView,
     now: float,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/events.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/events.py
@@ -30,6 +30,7 @@
     """An envelope arrived from another process."""
 
     now: float
+    #: Host of the process.
     sender: str
     envelope: Envelope
     stamp: Stamp = NO_STAMP
@@ -43,18 +44,19 @@
 
 
 class StorePolled(NamedTuple):
-    """The store answered without changes, or does not answer any more."""
+    """The store was polled without changes, or does not answer any more."""
 
     now: float
     #: Revision up to which the catalog in force is known to be complete.
     revision: int
     #: Revision of the latest change that the store reported.
     latest_change: int
+    #: Whether the store answered.
     reaches_store: bool
 
 
 class PeerStampReceived(NamedTuple):
-    """Another balancer sent what it knows of the store."""
+    """Another balancer sent the latest store change that it knows of."""
 
     now: float
     stamp: Stamp
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/flow_opening.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/flow_opening.py
@@ -8,7 +8,7 @@
     Excess,
     find_excess,
     get_queue,
-    has_enough_refusals,
+    has_enough_late_declines,
     list_full_hosts,
 )
 from keelgap_balancer.packets.caller_waits import (
@@ -41,7 +41,7 @@
 
 
 class OpeningPacket(NamedTuple):
-    """The first packet of a flow, on its way to an agent."""
+    """An opening packet that is being offered to agents, and its context."""
 
     key: bytes
     route: PacketRoute
@@ -60,18 +60,25 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
-    """Offer a new flow to an agent; offer copies of its packet to the same."""
-    effects = _open_flow(state, key, datagram, now)
+    """Offer a new flow to an agent, or reset it.
+
+    Copies of its opening packet are offered to the same agent.
+    """
+    effects = _offer_or_reset(state, key, datagram, now)
     state.caller_waits.record_forwarded(key, now)
     return effects
 
 
-def _open_flow(
+def _offer_or_reset(
     state: PacketState,
     key: bytes,
     datagram: bytes,
     now: float,
 ) -> Effects:
+    """Offer a new flow to an agent; reset it if its route is unknown.
+
+    The agent chosen for an earlier copy of the packet is preferred.
+    """
     route = state.routes.get(state.format.route_key(datagram))
     if route is None:
         fields = {
@@ -84,7 +91,7 @@
     if owner is not None and _is_choice_valid(state, owner, now):
         return _offer(state, owner, opening)
     if owner is None:
-        return _place_new(state, opening)
+        return _place_unless_over_share(state, opening)
     excluded: tuple[str, ...] = (owner.host,)
     if choose_agent(state, route, key, now, excluded) is None:
         # There is no other agent, and this one may only be restarting.
@@ -92,8 +99,13 @@
     return _place(state, opening, excluded)
 
 
-def _place_new(state: PacketState, opening: OpeningPacket) -> Effects:
-    """Offer a flow not seen before, unless its caller exceeds its share."""
+def _place_unless_over_share(
+    state: PacketState, opening: OpeningPacket
+) -> Effects:
+    """Offer a new flow to an agent, or reset it if its caller has its share.
+
+    Shares apply only with the ``admission`` feature enabled.
+    """
     if not state.features.admission:
         return _place(state, opening, ())
     route = opening.route
@@ -107,7 +119,7 @@
 
 
 def _may_reset(state: PacketState, opening: OpeningPacket) -> bool:
-    """Return whether a flow is known not to be open elsewhere.
+    """Return whether a flow may be reset, since it is not open elsewhere.
 
     A copy of the first packet may arrive after another balancer offered the
     flow, while the answer is on its way.
@@ -139,7 +151,7 @@
 
 
 def _is_choice_valid(state: PacketState, owner: AgentView, now: float) -> bool:
-    """Return whether copies of an opening packet go to the same agent."""
+    """Return whether the agent chosen for a new flow can still take it."""
     is_there = owner.missing_since is None and not owner.is_unresponsive(now)
     return is_there and not state.is_evacuated(owner)
 
@@ -149,6 +161,10 @@
     opening: OpeningPacket,
     excluded: tuple[str, ...],
 ) -> Effects:
+    """Choose an agent for a new flow and offer it the flow.
+
+    If there is none, the flow is refused.  ``excluded`` hosts are left out.
+    """
     key = opening.key
     state.latency_placement.cross_zone_costs = None
     agent = _choose_trial(state, opening)
@@ -171,7 +187,10 @@
 def _choose_trial(
     state: PacketState, opening: OpeningPacket
 ) -> AgentView | None:
-    """Return an ejected upstream for which this flow serves as a trial."""
+    """Return an ejected upstream to offer the flow as a trial, or None.
+
+    A flow that was already offered is no trial.
+    """
     if opening.hop or not state.ejections.awaiting_trial:
         return None
     service = choose_service(opening.route, opening.key)
@@ -181,7 +200,10 @@
 def _retry_ejected(
     state: PacketState, opening: OpeningPacket
 ) -> AgentView | None:
-    """Return an agent that declined a flow only because it is ejected."""
+    """Return an agent that declined a flow only because it is ejected.
+
+    Each is returned once.  If none is left, None is returned.
+    """
     search = state.searches.get(opening.key)
     if search is None or not search.declined_by_ejected:
         return None
@@ -198,14 +220,14 @@
 
 
 def _refuse(state: PacketState, opening: OpeningPacket) -> Effects:
-    """Reset a new flow that no agent accepts; its request has not run.
+    """Reset or park a flow that no agent accepts; its request has not run.
 
     While processes return after an outage, the packet is parked instead: the
     first upstream may be about to start, and the three tries of a caller are
-    over within half a second.  Where all upstreams are out of service there is
-    nothing to wait for.  An agent may return a packet late, when a copy of it
-    has opened the flow elsewhere: the flow is not reset then, and the next copy
-    from the caller is offered again.
+    over within half a second.  Where all upstreams are out of service there
+    is nothing to wait for.  An agent may return a packet late, when a copy of
+    it has opened the flow elsewhere: the flow is not reset then, and the next
+    copy from the caller is offered again.
     """
     key = opening.key
     may_appear = state.may_have_missed_attempts(
@@ -232,9 +254,10 @@
 
 
 def _is_all_evacuated(state: PacketState, opening: OpeningPacket) -> bool:
-    """Return whether all upstreams of a service are out of service.
+    """Return whether all upstreams are in zones that are out of service.
 
-    Returns False for a service without upstreams.
+    These are the upstreams of the flow's service.  Returns False for a service
+    without upstreams.
     """
     service = choose_service(opening.route, opening.key)
     views = state.agents_by_service.get(service, ())
@@ -246,6 +269,11 @@
     agent: AgentView,
     opening: OpeningPacket,
 ) -> Effects:
+    """Return the effect that offers a flow to an agent.
+
+    It carries the remaining time until the route's target, and the estimate of
+    the caller's wait.
+    """
     now = opening.now
     agent.expect_answer(now)
     retransmissions = state.format.retransmissions(opening.datagram)
@@ -273,7 +301,10 @@
     opening: OpeningPacket,
     view: AgentView,
 ) -> Effects:
-    """Offer a flow to another agent after one declined it."""
+    """Offer a flow to another agent after ``view`` declined it.
+
+    With early refusal enabled, it is reset if none can start it in time.
+    """
     search = state.searches.setdefault(opening.key, FlowSearch(opening.now))
     search.declined_by.add(view.host)
     if (
@@ -281,23 +312,27 @@
         and view in state.ejections.ejected_since
     ):
         search.declined_by_ejected.add(view.host)
-    search.time_refusals += bool(opening.start_ms)
+    search.late_declines += bool(opening.start_ms)
     if state.features.admission and opening.start_ms:
-        return _place_or_refuse(state, opening, search)
+        return _place_if_in_time(state, opening, search)
     return _place(state, opening, tuple(search.declined_by))
 
 
-def _place_or_refuse(
+def _place_if_in_time(
     state: PacketState,
     opening: OpeningPacket,
     search: FlowSearch,
 ) -> Effects:
-    """Offer a flow to another agent, or reset it if none may have capacity."""
+    """Offer a flow to another agent, or reset it if none can start it in time.
+
+    It is also reset after MAX_CAPACITY_OFFERS.  A flow that may be open
+    elsewhere is not reset, but its packet is dropped.
+    """
     key = opening.key
     route = opening.route
     full = list_full_hosts(state, route, key, opening.now)
     excluded = tuple(search.declined_by)
-    if has_enough_refusals(search):
+    if has_enough_late_declines(search):
         excluded = tuple(full | search.declined_by)
     agent = choose_agent(state, route, key, opening.now, excluded)
     if agent is not None and opening.hop < defaults.MAX_CAPACITY_OFFERS:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/flow_search.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/flow_search.py
@@ -10,17 +10,17 @@
 
     __slots__ = (
         'queried_hosts',
-        'denying_nodes',
+        'answer_digests',
         'declined_by_ejected',
         'declined_by',
         'last_packet_at',
         'awaits_catalog',
         'awaiting_entries_since',
-        'time_refusals',
+        'late_declines',
         'latest_packet',
         'pending_lookups',
         'may_lack_entries',
-        'missed',
+        'denied_by',
         'named_owners',
         'required_revision',
         'pending_host',
@@ -38,7 +38,7 @@
         #: When the search started or was last resumed; the time limit of a
         #: search counts from here.
         self.active_since = now
-        #: When the caller sent the latest packet of the flow.
+        #: When the latest packet from the caller arrived.
         self.last_packet_at = now
         #: Latest packet of the open flow, which the next query carries.  Empty
         #: while a new flow is being offered to agents.
@@ -47,7 +47,8 @@
         #: because an owner may be missing from the catalog in force.
         self.awaits_catalog = False
         #: Revision that the catalog must reach before the search is resumed:
-        #: the latest one known when the flow had been denied everywhere.
+        #: the latest one known when the flow had been denied everywhere; 0 if
+        #: none.
         self.required_revision = 0
         #: Since when the search is suspended until lapsed catalog entries may
         #: have been renewed.
@@ -60,18 +61,19 @@
         #: Hosts that were sent a SEARCH envelope, in order.
         self.queried_hosts: list[str] = []
         #: Hosts that denied the open flow with a MISS envelope.
-        self.missed: set[str] = set()
+        self.denied_by: set[str] = set()
         #: Hosts that declined the opening packet.  They may have accepted a
         #: copy of it since, and hold the flow.
         self.declined_by: set[str] = set()
-        #: How often a host declined a new flow because it could not answer in
-        #: time.
-        self.time_refusals = 0
+        #: How often a host declined the new flow because it could not start
+        #: the request in time.
+        self.late_declines = 0
         #: Hosts in ``declined_by`` whose upstream is ejected; they may accept
         #: the flow if no other host does.
         self.declined_by_ejected: set[str] = set()
         #: Host queried last, if it has not answered.
         self.pending_host: str | None = None
+        #: When the latest query was sent; the start of the search before that.
         self.pending_since = now
         #: Directory nodes that were queried and have not answered.
         self.pending_lookups: set[str] = set()
@@ -80,14 +82,19 @@
         #: Hosts that directory nodes named as owners.
         self.named_owners: list[str] = []
         #: Directory nodes that answered without naming an unknown host, with
-        #: the digest of the hosts that they cover.
-        self.denying_nodes: dict[str, int] = {}
-        #: Number of lookups and SEARCH envelopes sent for this flow.
+        #: the digest of the hosts that they covered.  They denied the flow for
+        #: all agents but those in ``named_owners``.
+        self.answer_digests: dict[str, int] = {}
+        #: Number of queries, without resent copies.  A packet that the cached
+        #: owner returned counts as the first.
         self.query_count = 0
 
     @property
     def answer_timeout(self) -> float:
-        """Return how many seconds to wait for the pending answers."""
+        """Return how many seconds to wait before the search continues.
+
+        If no answer is pending, that is the pause until the next lookup.
+        """
         if self.pending_lookups:
             return defaults.LOOKUP_TIMEOUT_SECONDS
         if self.pending_host is None:
@@ -100,20 +107,23 @@
         self.pending_lookups.clear()
 
     def restart_lookups(self) -> None:
-        """Let the directory be queried again: it may know more by now."""
+        """Forget all answers of directory nodes, and query them again.
+
+        They may know more by now.
+        """
         self.queried_nodes.clear()
-        self.denying_nodes.clear()
+        self.answer_digests.clear()
 
     def record_packet(self, datagram: bytes, now: float) -> None:
-        """Record a packet from the caller."""
+        """Record a packet from the caller, and use it for further queries."""
         self.replace_packet(datagram, now)
         self.last_packet_at = now
 
     def replace_packet(self, datagram: bytes, now: float) -> None:
-        """Use this packet for the following queries.
+        """Use a packet for the following queries.
 
         The search for an owner starts with the first packet of the open flow,
-        not when the new flow was offered to agents.
+        so its times are reset then.
         """
         if not self.latest_packet:
             self.started_at = now
@@ -126,11 +136,11 @@
         return self.awaits_catalog or self.awaiting_entries_since is not None
 
     def has_unanswered_lookup(self, node: str) -> bool:
-        """Return whether a directory node was queried and did not answer."""
-        return node in self.queried_nodes and node not in self.denying_nodes
+        """Return whether a queried directory node gave no usable answer."""
+        return node in self.queried_nodes and node not in self.answer_digests
 
-    def resume(self, now: float) -> None:
-        """Resume a suspended search with the time limit of a new one."""
+    def end_suspension(self, now: float) -> None:
+        """Allow queries again, with the time limit of a new search."""
         self.awaits_catalog = False
         self.awaiting_entries_since = None
         self.active_since = now
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip.py
@@ -98,7 +98,10 @@
 
 
 def decode_gossip(content: bytes) -> GossipMessage:
-    """Return the message in some octets; raise MalformedGossip."""
+    """Return the message decoded from its octets.
+
+    Raises MalformedGossip.
+    """
     try:
         head = _HEAD.unpack_from(content)
     except struct.error as error:
@@ -120,7 +123,11 @@
 
 
 def _split_parts(content: bytes, counts: list[int]) -> list[bytes]:
-    """Return the octets of hosts, changes, infos and claims."""
+    """Return the octets of the hosts, changes, infos and claims of a message.
+
+    ``counts`` holds the numbers of the first three; claims are the rest.
+    Raises MalformedGossip.
+    """
     sizes = (_HOST_LENGTH, _CHANGE.size, _BALANCER_INFO.size)
     parts = []
     remaining = content[_HEAD.size :]
@@ -131,7 +138,7 @@
 
 
 def _split_at(octets: bytes, length: int) -> tuple[bytes, bytes]:
-    """Split after a length; raise MalformedGossip if it is exceeded."""
+    """Split octets after a length; raise MalformedGossip if they are fewer."""
     if length > len(octets):
         raise MalformedGossip(len(octets))
     return octets[:length], octets[length:]
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
@@ -41,7 +41,10 @@
         make_stamp: Callable[[], Stamp],
         control_port: int,
     ) -> None:
-        """Initialize; all balancers serve catalogs on ``control_port``."""
+        """Create a driver that does not send yet.
+
+        All balancers serve catalogs on ``control_port``.
+        """
         self.process = process
         self.peers = peers
         self.balancer_infos = balancer_infos
@@ -64,7 +67,10 @@
         self.send_gossip()
 
     def send_gossip(self, *, is_round: bool = False) -> None:
-        """Send a message to the next receivers; in a round, also probe them."""
+        """Send a message to the next receivers; in a round, also probe some.
+
+        A receiver that is probed is asked for a reply.
+        """
         # A reader that lost the store sends to as many: the others must learn
         # that they cannot rely on it.
         is_reader = self.readers.is_reader
@@ -79,7 +85,7 @@
             self._send_to_peer(host, wants_reply=wants_reply)
 
     def broadcast(self, effect: SendToBalancers) -> None:
-        """Send an envelope other than gossip to the other balancers."""
+        """Send an envelope to MAX_REFUSED_RECEIVERS other balancers."""
         envelope = Envelope(
             effect.kind,
             hop=0,
@@ -96,7 +102,7 @@
             send_datagram(self.sock, datagram, (host, self.peer_port))
 
     def handle_message(self, envelope: Envelope, host: str) -> None:
-        """Handle a gossip message from another balancer."""
+        """Apply a gossip message; reply to a new sender or on request."""
         try:
             gossip = decode_gossip(envelope.content)
         except MalformedGossip as error:
@@ -119,9 +125,14 @@
 
     @property
     def _is_active_reader(self) -> bool:
+        """Return whether this balancer reads the store and gets answers."""
         return self.readers.is_reader and self.catalog.is_answered
 
     def _run_round(self) -> None:
+        """Apply timeouts, choose the readers of the store, and send gossip.
+
+        Called every GOSSIP_INTERVAL_SECONDS.
+        """
         now = self.process.loop.clock()
         lost = self.peers.tick(now)
         self.balancer_infos.forget(lost)
@@ -130,6 +141,7 @@
         self.send_gossip(is_round=True)
 
     def _update_reader_role(self, now: float) -> None:
+        """Decide whether this balancer reads the store; apply the decision."""
         was_reader = self.readers.is_reader
         is_reader = self.readers.decide(now, self.peers.last_heard)
         self.catalog.set_reader_role(is_reader, len(self.peers.last_heard) + 1)
@@ -143,6 +155,7 @@
     def _record_claims(
         self, host: str, gossip: GossipMessage, now: float
     ) -> None:
+        """Record which balancers read the store, according to a message."""
         for claim in gossip.claims:
             self.readers.record_claim(claim, now)
         if gossip.is_reader:
@@ -151,7 +164,7 @@
             self.readers.record_withdrawal(host, now)
 
     def _log_changes(self, lost: tuple[str, ...]) -> None:
-        """Log the balancers found and lost, on one line."""
+        """Log the balancers found since the last log line, and those lost."""
         if self.found or lost:
             self.process.lines.log(
                 'balancers_changed',
@@ -164,6 +177,7 @@
             self.found.clear()
 
     def _send_to_peer(self, host: str, *, wants_reply: bool = False) -> None:
+        """Send a gossip message with what this balancer knows to another."""
         catalog_state = self.catalog.state
         gossip = GossipMessage(
             catalog_state.revision if catalog_state.complete else 0,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/candidates.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/candidates.py
@@ -24,12 +24,17 @@
     now: float,
     excluded: Container[str],
 ) -> list[AgentView]:
-    """Return the agents among which to choose one for a new flow."""
+    """Return the agents among which to choose one for a new flow.
+
+    For a large service that is a sample, if ``placement`` is enabled.
+    ``excluded`` hosts are left out.
+    """
     views = state.agents_by_service.get(service, ())
     ejected = find_excluded(state, service, now)
     if state.features.placement and len(views) > defaults.SAMPLING_THRESHOLD:
 
         def choose(drawn: Iterable[AgentView]) -> list[AgentView]:
+            """Return drawn agents that accept flows; none if none is ready."""
             accepting = _filter_accepting(state, drawn, now, excluded, ejected)
             has_ready = any(_is_ready(view, now, ejected) for view in accepting)
             return accepting if has_ready else []
@@ -47,7 +52,7 @@
     excluded: Container[str],
     ejected: Container[AgentView],
 ) -> list[AgentView]:
-    """Return the agents that accept flows, as far as is known.
+    """Return the best agents that may accept a flow.
 
     Ejected upstreams are used only if all responsive agents are ejected, and
     unresponsive agents only if there is no other.  Upstreams whose entry is
@@ -71,6 +76,7 @@
     now: float,
     ejected: Container[AgentView],
 ) -> bool:
+    """Return whether an agent accepts flows, responds and is not ejected."""
     is_responsive = view.accepts_flows() and not view.is_unresponsive(now)
     return is_responsive and view not in ejected
 
@@ -81,7 +87,9 @@
     key: bytes,
     choose: Callable[[Iterable[AgentView]], list[AgentView]],
 ) -> list[AgentView]:
-    """Return a sample by the hash of a flow's key, most of it of this zone.
+    """Return a sample of agents by the hash of a flow's key.
+
+    Most of them are in this balancer's availability zone.
 
     All balancers of an availability zone draw the same sample for a flow.  If
     none of the sampled agents of this zone is ready, all agents of the zone
@@ -100,7 +108,7 @@
 def _get_sampling_order(
     state: PacketState, service: str
 ) -> SamplingOrder[AgentView]:
-    """Return the sampling order of a service.
+    """Return the agents of a service in the order for drawing samples.
 
     It leaves out availability zones that are out of service.  It is cached
     until these zones or the upstreams of the service change.
@@ -128,7 +136,7 @@
     hash_value: int,
     count: int,
 ) -> Sequence[AgentView]:
-    """Return ``count`` distinct agents, or all if there are no more."""
+    """Return ``count`` distinct agents chosen by a hash, or all if fewer."""
     length = len(views)
     if length <= count:
         return views
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/costs.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/costs.py
@@ -24,7 +24,7 @@
 
 
 class TypicalLoad(NamedTuple):
-    """Typical values of the candidates for a flow."""
+    """Typical load and service time of the candidates for a new flow."""
 
     #: Busy requests per open flow.
     busy_per_flow: float
@@ -33,7 +33,7 @@
 
 
 class _Flow(NamedTuple):
-    """What the cost of a new flow depends on besides the agent."""
+    """Inputs to the cost of a new flow that are the same for all agents."""
 
     state: PacketState
     typical: TypicalLoad
@@ -46,7 +46,9 @@
     views: Sequence[AgentView],
     busy_per_flow: float,
 ) -> TypicalLoad | None:
-    """Return the typical values of a service, or None if it is even.
+    """Return typical values if the load or speed of upstreams is uneven.
+
+    None is returned for an even service.
 
     A service is even if no requests wait and all upstreams take about the
     same time for a request.  It counts as even, too, if that time is unknown
@@ -70,7 +72,11 @@
     key: bytes,
     now: float,
 ) -> AgentView:
-    """Return the agent with the least cost; the hash decides among equals."""
+    """Return the agent with the least expected cost for a new flow.
+
+    An agent of another availability zone is returned only if it is cheaper by
+    more than a penalty.  Among agents of similar cost a hash decides.
+    """
     flow = _Flow(
         state,
         typical,
@@ -110,7 +116,7 @@
     costs: dict[str, float],
     key: bytes,
 ) -> Callable[[AgentView], tuple[int, int]]:
-    """Return a ranking by steps of the cost, then by the hash of the key.
+    """Return a sort key: steps of the cost, then a hash of the flow key.
 
     Reports lag behind, and many balancers use the same ones.  For agents
     within one step, all balancers choose the same agent for one flow, and
@@ -124,7 +130,10 @@
 
 
 def _compute_zone_penalty(typical: TypicalLoad) -> float:
-    """Return the cost of sending a flow to another availability zone."""
+    """Return the cost of sending a flow to another availability zone.
+
+    Its unit is the service time of a request at a typical upstream.
+    """
     return (
         defaults.CROSS_ZONE_MARGIN
         + defaults.CROSS_ZONE_RTT_MS / typical.work_ms
@@ -132,13 +141,17 @@
 
 
 def _is_unusual(view: AgentView, typical: TypicalLoad) -> bool:
+    """Return whether requests wait at an upstream or its speed differs."""
     if view.report.busy > view.upstream.slots:
         return True
     return _compute_work_ratio(view, typical) != 1
 
 
 def _compute_work_ratio(view: AgentView, typical: TypicalLoad) -> float:
-    """Return the service time at an upstream, as a ratio to the median.
+    """Return the service time of an upstream as a multiple of the median.
+
+    It is the mean time for which a request occupies a slot.  If it is
+    unknown, 1 is returned.
 
     Small differences count as none: the values are means of few responses,
     reported in whole milliseconds.
@@ -156,7 +169,10 @@
 
 
 def _compute_cost(flow: _Flow, view: AgentView) -> float:
-    """Return the expected cost of one more flow at an agent."""
+    """Return the expected cost of one more flow at an agent.
+
+    Its unit is the service time of a request at a typical upstream.
+    """
     slots: float = view.upstream.slots
     if flow.now < view.warm_up_until:
         slots *= WARM_UP_SLOT_SHARE
@@ -171,7 +187,10 @@
     view: AgentView,
     slots: float,
 ) -> float:
-    """Return the expected latency, in units of a request of that agent."""
+    """Return the expected latency of one request at an agent.
+
+    Its unit is the service time of a request at that agent's upstream.
+    """
     report = view.report
     typical_busy = report.flows * flow.typical.busy_per_flow
     weight = _compute_report_weight(flow.now - view.reported_at)
@@ -190,7 +209,7 @@
     view: AgentView,
     slots: float,
 ) -> float:
-    """Return the load per slot with one more long flow."""
+    """Return the expected busy requests per slot with one more long flow."""
     report = view.report
     typical_busy = report.flows * flow.typical.busy_per_flow
     return (
@@ -199,7 +218,10 @@
 
 
 def _compute_report_weight(age: float) -> float:
-    """Return the weight of a report of some age, from 0 to 1."""
+    """Return how far to trust a load report of an age in seconds, from 0 to 1.
+
+    The remaining weight goes to the typical load.
+    """
     beyond = max(age - defaults.REPORT_FRESH_SECONDS, 0)
     return defaults.REPORT_HALF_WEIGHT_SECONDS / (
         defaults.REPORT_HALF_WEIGHT_SECONDS + beyond
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/flow_durations.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/flow_durations.py
@@ -16,13 +16,15 @@
 
 
 class FlowDurations:
-    """Shares of long flows, by the name of the route."""
+    """Learned shares of long flows by route, and the flows watched."""
 
     def __init__(self) -> None:
         """Start without flows."""
         #: Route and start time of each flow that is watched, by its key.
         self.watched: dict[bytes, tuple[str, float]] = {}
+        #: Number of watched flows by route name.
         self.counts: dict[str, int] = {}
+        #: Learned share of long flows, from 0 to 1, by route name.
         self.long_flow_shares: dict[str, float] = {}
 
     def watch_flow(self, key: bytes, route_name: str, now: float) -> None:
@@ -33,7 +35,7 @@
             self.watched[key] = route_name, now
 
     def record_end(self, key: bytes, now: float) -> None:
-        """Record that the caller ended a flow."""
+        """Learn from a watched flow that its caller ended."""
         watched = self.watched.pop(key, None)
         if watched is not None:
             route_name, started_at = watched
@@ -47,7 +49,10 @@
             self._decrement_count(watched[0])
 
     def expire(self, now: float) -> None:
-        """Count watched flows that have been open for long as long flows."""
+        """Learn from watched flows that exceed LONG_FLOW_SECONDS.
+
+        They count as long, and are no longer watched.
+        """
         oldest_start = now - defaults.LONG_FLOW_SECONDS
         expired = [
             key
@@ -59,10 +64,11 @@
             self._learn(route_name, is_long=True)
 
     def get_long_flow_share(self, route_name: str) -> float:
-        """Return the share of long flows among those of a route."""
+        """Return the share of long flows among those of a route, 0 to 1."""
         return self.long_flow_shares.get(route_name, _DEFAULT_SHARE)
 
     def _learn(self, route_name: str, *, is_long: bool) -> None:
+        """Update the share of a route for one watched flow that has ended."""
         self._decrement_count(route_name)
         share = self.get_long_flow_share(route_name)
         weight = defaults.LONG_FLOW_SHARE_WEIGHT
@@ -72,6 +78,7 @@
         self.long_flow_shares[route_name] = share + weight * (is_long - share)
 
     def _decrement_count(self, route_name: str) -> None:
+        """Count one watched flow of a route less."""
         self.counts[route_name] -= 1
         if not self.counts[route_name]:
             self.counts.pop(route_name)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/recording.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/recording.py
@@ -15,9 +15,10 @@
     key: bytes,
     now: float,
 ) -> tuple[PacketEffect, ...]:
-    """Record a placement; return a log line if it is in another zone.
+    """Count a new flow placed at an agent, and learn how long it stays open.
 
-    Lines are rate-limited.
+    Returns a log line, at a limited rate, if costs led to another availability
+    zone.  Does nothing unless ``placement`` is enabled.
     """
     if not state.features.placement:
         return ()
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/state.py
@@ -17,7 +17,10 @@
 
 
 class SamplingOrder(NamedTuple, Generic[View]):
-    """The upstreams of a large service, in the same order at all balancers."""
+    """Upstreams of a large service, in the order from which samples are drawn.
+
+    All balancers use the same order.
+    """
 
     #: All upstreams of the service, and the availability zones that were
     #: out of service.
@@ -32,12 +35,15 @@
         views: tuple[View, ...],
         evacuated: Mapping[str, int],
     ) -> bool:
-        """Return whether these upstreams and zones gave this order."""
+        """Return whether it was made from these upstreams and zones.
+
+        ``evacuated`` has the availability zones that are out of service.
+        """
         return self.views is views and self.evacuated == evacuated.keys()
 
 
 class CrossZoneCosts(NamedTuple):
-    """The costs for which a flow went to another availability zone."""
+    """Expected costs that sent a flow to another availability zone."""
 
     #: Least expected cost in the own zone, and that of the chosen agent.
     near: float
@@ -50,13 +56,14 @@
     def __init__(self) -> None:
         """Start without flows."""
         self.flow_durations = FlowDurations()
+        #: Sampling orders of large services, by name of the service.
         self.orders: dict[str, SamplingOrder[View]] = {}
         #: Flows placed in the own availability zone, and in others.
         self.placed_near = 0
         self.placed_far = 0
-        #: Of the latest decision, if it led to another availability zone.
+        #: Costs of the latest placement, if it chose another zone.
         self.cross_zone_costs: CrossZoneCosts | None = None
-        #: When such a decision was last logged.
+        #: When a placement in another availability zone was last logged.
         self.last_logged_at = float('-inf')
 
     def cache_order(
@@ -72,7 +79,10 @@
         self.orders[service] = order
 
     def should_log(self, now: float) -> bool:
-        """Return whether another log line is due; if so, record its time."""
+        """Return whether to log a placement now; if so, record the time.
+
+        Placements are logged at most once in LOG_INTERVAL_SECONDS.
+        """
         if now - self.last_logged_at < LOG_INTERVAL_SECONDS:
             return False
         self.last_logged_at = now
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/notices.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/notices.py
@@ -1,4 +1,7 @@
-"""Notices to agents about the contents of this balancer's catalog."""
+"""Notices to agents about their upstream and service.
+
+Agents do not read the store, so balancers tell them what the catalog lists.
+"""
 
 from typing import Final
 
@@ -19,7 +22,7 @@
 
 
 def make_notice(state: PacketState, view: AgentView, now: float) -> bytes:
-    """Return a notice to an agent about its upstream and its service.
+    """Return an encoded notice to an agent about its upstream and service.
 
     While the catalog is stale, the notice does not identify the process of
     the upstream: a later one may have replaced it, and the agent would take
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_queries.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_queries.py
@@ -26,7 +26,9 @@
     key: bytes,
     now: float,
 ) -> Effects | None:
-    """Query the agents that may hold a flow; return None if there are none.
+    """Query the agents that may hold a flow; return None if none is left.
+
+    Nothing is sent while the directory may soon rule out more agents.
 
     Agents for which no directory node denied the flow come first, then those
     for which only one node did.
@@ -54,7 +56,10 @@
     directory_nodes: tuple[str, ...],
     now: float,
 ) -> bool:
-    """Return whether the directory may soon cover more of many agents."""
+    """Return whether to wait for the directory rather than query many agents.
+
+    That is at most DIRECTORY_TIMEOUT_SECONDS from the start of the search.
+    """
     is_early = now - search.started_at < defaults.DIRECTORY_TIMEOUT_SECONDS
     return (
         bool(directory_nodes) and is_early and len(agents) > defaults.MAX_ASKED
@@ -74,7 +79,7 @@
     """
     if not _awaits_directory(search, uncovered, directory_nodes, now):
         return False
-    is_answered = search.denying_nodes.keys() >= set(directory_nodes)
+    is_answered = search.answer_digests.keys() >= set(directory_nodes)
     waited = now - search.started_at
     return not is_answered or waited < defaults.COVERAGE_WAIT_SECONDS
 
@@ -84,12 +89,12 @@
     unconfirmed: list[AgentView],
     directory_nodes: tuple[str, ...],
 ) -> bool:
-    """Return whether the answer of a node is missing for many agents.
+    """Return whether a node has not answered and many agents are left.
 
     The node is itself an agent that would have to deny the flow and cannot, so
     querying the others could not conclude the search.
     """
-    answers = search.denying_nodes.keys()
+    answers = search.answer_digests.keys()
     return len(unconfirmed) > defaults.MAX_ASKED and not answers >= set(
         directory_nodes
     )
@@ -102,7 +107,7 @@
     agents: list[AgentView],
     now: float,
 ) -> Effects:
-    """Query the next agents that have not denied a flow.
+    """Query the next of the given agents, which may hold the flow.
 
     Few agents are queried one after the other, since the first ones are the
     likely owners.  Of many agents that the directory does not cover, several
@@ -129,7 +134,7 @@
     unresponsive: list[AgentView],
     now: float,
 ) -> Effects:
-    """Query agents that did not answer again, in turn.
+    """Query one of the agents that did not answer again; each in turn.
 
     A missing answer is not a denial.
     """
@@ -143,6 +148,7 @@
     host: str,
     now: float,
 ) -> Effects:
+    """Query a host with the flow's latest packet, and await its answer."""
     search.queried_hosts.append(host)
     search.pending_host = host
     search.pending_since = now
@@ -156,6 +162,7 @@
     host: str,
     datagram: bytes,
 ) -> Effects:
+    """Return the effect that sends a packet to a host to query its flow."""
     route = state.find_route(datagram)
     view = None if route is None else find_agent(state, route, host)
     if view is None:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_search.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_search.py
@@ -40,9 +40,9 @@
 __all__ = (
     'continue_search',
     'resume_search',
-    'skip_unresponsive',
-    'handle_found',
-    'handle_covered',
+    'continue_overdue_searches',
+    'resume_answered',
+    'resume_denied',
     'search_for_owner',
 )
 
@@ -58,7 +58,8 @@
 ) -> Effects:
     """Search for the owner of a flow, using one of its packets as the query.
 
-    A search that waits for an answer resends the packet to the same host.
+    While an agent's answer is pending, the packet is sent to it again; while
+    that of a directory node is, nothing is sent.
     """
     search = state.searches.get(key)
     if search is None:
@@ -87,11 +88,14 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
-    """Query the next agent, or conclude the search if none is left."""
+    """Query the next candidate, or conclude the search if none is left.
+
+    Named owners come first, then directory nodes, then other agents.
+    """
     search = state.searches[key]
     search.replace_packet(datagram, now)
     for host in search.named_owners:
-        if host not in search.missed and host not in search.queried_hosts:
+        if host not in search.denied_by and host not in search.queried_hosts:
             return query_host(state, search, host, now)
     directory_nodes = list_directory_nodes(state, route, key)
     lookup = _query_next_node(state, search, directory_nodes, key, now)
@@ -103,12 +107,15 @@
     return conclude_search(state, route, search, key, now)
 
 
-def _rank_hosts(
+def _sort_hosts(
     state: PacketState,
     hosts: Iterable[str],
     now: float,
 ) -> list[str]:
-    """Sort hosts: responsive agents first, then those of the same zone."""
+    """Sort hosts: responsive agents first, then those of the same zone.
+
+    Hosts without an agent in the catalog are left out.
+    """
     views = [
         state.agents_by_host[host]
         for host in hosts
@@ -130,11 +137,12 @@
     key: bytes,
     now: float,
 ) -> Effects:
-    """Query the next directory node.
+    """Look the flow up at the next directory node, if one is left.
 
-    Nodes are queried one after the other: the first one knows most owners.
+    Nodes are queried one after the other: for most flows the first one
+    suffices to find the owner.
     """
-    for node in _rank_hosts(state, directory_nodes, now):
+    for node in _sort_hosts(state, directory_nodes, now):
         if node not in search.queried_nodes:
             search.queried_nodes.add(node)
             search.pending_lookups.add(node)
@@ -144,9 +152,10 @@
     return ()
 
 
-def handle_found(state: PacketState, event: EnvelopeArrived) -> Effects:
-    """Resume the searches that a directory node answered.
+def resume_answered(state: PacketState, event: EnvelopeArrived) -> Effects:
+    """Record a directory node's answer, and resume the searches it concerns.
 
+    A search whose owner is not in the catalog is suspended or dropped.
     Raises MalformedEnvelope.
     """
     response, sent = handle_lookup_answer(state, event)
@@ -164,7 +173,7 @@
             )
             continue
         search.named_owners.extend(hosts)
-        search.denying_nodes[event.sender] = response.digest
+        search.answer_digests[event.sender] = response.digest
         if search.pending_host is None:
             effects.extend(resume_search(state, search, key, event.now))
     return tuple(effects)
@@ -179,7 +188,7 @@
     """Suspend a search whose owner is missing from the catalog in force.
 
     If the store has no later changes to read, the owner's entry has lapsed.
-    The search is dropped then; the caller repeats its packet.
+    The search is dropped then; the caller's next packet starts another.
     """
     fields = {
         'flow': state.format.describe_key(key),
@@ -194,11 +203,11 @@
     return RefreshCatalog(), decided
 
 
-def handle_covered(state: PacketState, event: EnvelopeArrived) -> Effects:
-    """Resume searches that depend on which agents a directory node covers.
+def resume_denied(state: PacketState, event: EnvelopeArrived) -> Effects:
+    """Resume searches after a directory node told which agents it covers.
 
-    If the coverage has changed since the node denied a flow, the node is
-    queried again.
+    It knows all flows of a covered agent.  If the coverage has changed since
+    the node denied a flow, the node is queried again.
     """
     if not handle_coverage(state, event):
         return ()
@@ -206,16 +215,19 @@
     digest = state.directory_nodes[host].digest
     effects = list(notify_uncovered(state, host, event.now))
     for key, search in tuple(state.searches.items()):
-        if host not in search.denying_nodes or not _is_idle(search):
+        if host not in search.answer_digests or not _has_stalled(search):
             continue
-        if search.denying_nodes[host] != digest:
+        if search.answer_digests[host] != digest:
             search.restart_lookups()
         effects.extend(resume_search(state, search, key, event.now))
     return tuple(effects)
 
 
-def _is_idle(search: FlowSearch) -> bool:
-    """Return whether a search of an open flow awaits no answer."""
+def _has_stalled(search: FlowSearch) -> bool:
+    """Return whether a search of an open flow neither waits nor is suspended.
+
+    Without an event from outside it would make no progress.
+    """
     is_pending = search.pending_host is not None or bool(search.pending_lookups)
     return (
         bool(search.latest_packet)
@@ -230,7 +242,10 @@
     key: bytes,
     now: float,
 ) -> Effects:
-    """Continue a search with the latest packet of its flow."""
+    """Continue a search with the latest packet of its flow.
+
+    A search whose route is unknown is dropped.
+    """
     route = state.find_route(search.latest_packet)
     if route is None:
         state.searches.pop(key, None)
@@ -238,17 +253,17 @@
     return continue_search(state, route, key, search.latest_packet, now)
 
 
-def skip_unresponsive(state: PacketState, now: float) -> Effects:
-    """Continue searches whose pending answer is overdue.
+def continue_overdue_searches(state: PacketState, now: float) -> Effects:
+    """Continue searches that have waited too long since their latest query.
 
-    Callers repeat their packets too seldom for that to drive a search.  If
-    the directory answered without deciding the search, it is queried again.
+    Callers repeat their packets too seldom to keep a search going.  A search
+    that awaits no answer, but is undecided, queries the directory again.
     """
     effects: list[PacketEffect] = []
     for key, search in tuple(state.searches.items()):
         if not _is_overdue(state, search, now):
             continue
-        if _is_idle(search):
+        if _has_stalled(search):
             search.restart_lookups()
         search.drop_pending()
         effects.extend(resume_search(state, search, key, now))
@@ -256,7 +271,11 @@
 
 
 def _is_overdue(state: PacketState, search: FlowSearch, now: float) -> bool:
-    """Return whether to stop waiting for the pending answers."""
+    """Return whether a search has waited long enough to continue.
+
+    While an agent's answer is pending, it continues only if another agent is
+    left to query.
+    """
     if not search.latest_packet or search.is_suspended:
         return False
     if now - search.pending_since < search.answer_timeout:
@@ -268,6 +287,7 @@
     """Return whether an agent of the route has not been queried yet."""
     route = state.find_route(search.latest_packet)
     if route is None:
+        # resume_search drops a search without a route.
         return True
     queried = set(search.queried_hosts)
     return any(
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/parking.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/parking.py
@@ -1,9 +1,9 @@
 """Buffer for packets that arrive before the first catalog or upstream.
 
-After a complete power failure the store may not answer for a while, and callers
-repeat an opening packet only twice.  If its packets were dropped, a caller
-would be served only with its next try, up to 0.8 s later, and have that much
-less time for an answer.
+After a complete power failure the store may not answer for a while, and
+callers repeat an opening packet only twice.  If its packets were dropped, a
+caller would be served only with its next try, up to 0.8 s later, and have that
+much less time for an answer.
 """
 
 from keelgap.packets.formats import Flags
@@ -46,7 +46,7 @@
         (key, datagram)
         for key, datagram in parked.items()
         if not _is_opening(state, datagram)
-        or not state.caller_waits.is_abandoned(key, now)
+        or not state.caller_waits.has_caller_given_up(key, now)
     ]
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/peer_bootstrap.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/peer_bootstrap.py
@@ -37,9 +37,10 @@
 
 
 def query_peer(state: PacketState, host: str, now: float) -> Effects:
-    """Query a balancer heard from within INHERIT_SECONDS of the start.
+    """Ask another balancer which services hosts served before.
 
-    The query is repeated with its later messages, since one may be lost.
+    Done only until INHERIT_SECONDS after the first catalog.  The query is
+    repeated with its later messages, since one may be lost.
     """
     first_catalog_at = state.first_catalog_at
     if first_catalog_at is None or not host:
@@ -69,7 +70,7 @@
 
 
 def _list_served(state: PacketState) -> list[ServedHost]:
-    """Return the hosts of the catalog in force and their services."""
+    """Return the hosts that the catalog lists, with tags of their services."""
     return [
         ServedHost(view.host, view.service_tag)
         for view in state.agents_by_host.values()
@@ -80,9 +81,10 @@
 def answer_peer_query(state: PacketState, event: EnvelopeArrived) -> Effects:
     """Send the known hosts and their services to a balancer started later.
 
-    One answer is enough: the balancer follows all changes from its first
-    catalog on.  The message is limited to MAX_SERVED_HOSTS rows, unlisted
-    agents first; in a large fleet nothing else fits.
+    Nothing is sent if it knows the same hosts.  One answer is enough: the
+    balancer follows all changes from its first catalog on.  The message is
+    limited to MAX_SERVED_HOSTS rows, unlisted agents first; in a large fleet
+    nothing else fits.
     """
     try:
         request = unpack_served_request(event.envelope.content)
@@ -108,7 +110,7 @@
 
 
 def handle_served_hosts(state: PacketState, event: EnvelopeArrived) -> Effects:
-    """Record where other balancers offer flows, or did until recently."""
+    """Record hosts that another balancer lists for another service."""
     try:
         rows = unpack_served(event.envelope.content)
     except MalformedEnvelope as error:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/peers.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/peers.py
@@ -40,8 +40,8 @@
     status: PeerStatus
 
 
-class _Update:
-    """A change that is still to be sent a number of times."""
+class _PendingChange:
+    """A change of a balancer's status that is still to be sent some times."""
 
     __slots__ = ('change', 'remaining_sends')
 
@@ -55,7 +55,10 @@
 
 
 class PeerTable:
-    """The other balancers that this balancer knows."""
+    """Other balancers that this one knows, with their status.
+
+    Methods return what to send; ``gossip_driver`` sends it.
+    """
 
     def __init__(
         self,
@@ -63,7 +66,7 @@
         seeds: Iterable[str],
         incarnation: int = 0,
     ) -> None:
-        """Start with the seeds, some of which may be gone."""
+        """Start with the hosts to contact first, some of which may be gone."""
         self.own_host = own_host
         self.incarnation = incarnation
         self.seeds: tuple[str, ...] = ()
@@ -80,7 +83,7 @@
         #: Balancers under suspicion, and since when.
         self.suspected: dict[str, float] = {}
         #: Changes still to be disseminated, by host.
-        self.updates: dict[str, _Update] = {}
+        self.updates: dict[str, _PendingChange] = {}
         #: Index of the first receiver of the last round.
         self.first_receiver = 0
         self.last_tick_at = float('-inf')
@@ -93,7 +96,7 @@
         return len(self.last_heard) <= defaults.MAX_GOSSIP_PEERS
 
     def change_seeds(self, seeds: Iterable[str]) -> None:
-        """Replace the seeds."""
+        """Replace the hosts to contact even if nothing was heard from them."""
         self.seeds = tuple(host for host in seeds if host != self.own_host)
 
     def record_message(
@@ -103,7 +106,11 @@
         mentioned: Iterable[str],
         now: float,
     ) -> bool:
-        """Record a message; return whether its sender is new or back."""
+        """Record that a balancer sent a message, so that it is alive.
+
+        ``mentioned`` are balancers that it names.  Returns whether it was not
+        known to be alive before.
+        """
         is_new = host not in self.last_heard
         self.last_heard[host] = now
         self.awaiting_reply.pop(host, None)
@@ -124,12 +131,18 @@
     def merge(
         self, changes: Iterable[PeerChange], now: float
     ) -> tuple[str, ...]:
-        """Apply changes from a peer; return the hosts that are new here."""
+        """Apply changes of status from a message.
+
+        Returns the hosts that were not known to be alive before.
+        """
         found = [one for one in changes if self._merge_change(one, now)]
         return tuple(one.host for one in found)
 
     def tick(self, now: float) -> tuple[str, ...]:
-        """Apply the timeouts; return the hosts that are lost now."""
+        """Suspect or remove balancers by timeouts; return those removed.
+
+        To be called once each gossip round.
+        """
         if now - self.last_tick_at > defaults.MAX_ROUND_GAP_SECONDS:
             # This process was paused; replies may have arrived meanwhile.
             self.awaiting_reply.clear()
@@ -164,7 +177,10 @@
         )
 
     def start_probe(self, host: str, now: float) -> bool:
-        """Start to await a reply; return whether to request one."""
+        """Begin to await a reply of a host; return whether to request one.
+
+        None is requested in a small fleet, or of a host not known to be alive.
+        """
         if self.is_small_fleet or host not in self.last_heard:
             return False
         if host not in self.suspected:
@@ -177,7 +193,7 @@
         is_reader: bool,
         is_round: bool = False,
     ) -> list[str]:
-        """Return the receivers of a message: all, or a few in turn if many.
+        """Return the hosts to send to next: all, or a few in turn if many.
 
         Balancers that have not replied to a probe are included each time, as
         are those under suspicion.
@@ -213,9 +229,10 @@
         return tuple(latest[: defaults.MAX_GOSSIP_PEERS])
 
     def take_updates(self) -> tuple[PeerChange, ...]:
-        """Return the changes to send with one message.
+        """Return the changes of status to send with one message.
 
-        Those with the most sends remaining come first.
+        The sends left for each of them are decremented.  Those with the most
+        sends remaining come first.
         """
         ranked = sorted(
             self.updates.values(), key=_get_remaining_sends, reverse=True
@@ -229,6 +246,7 @@
         return tuple(changes)
 
     def _merge_change(self, change: PeerChange, now: float) -> bool:
+        """Apply a change of status; return whether its host is newly known."""
         host = change.host
         if host == self.own_host:
             self._refute(change)
@@ -262,6 +280,7 @@
             )
 
     def _suspect(self, host: str, now: float) -> None:
+        """Suspect a balancer that did not reply to a probe in time."""
         self.awaiting_reply.pop(host)
         if host in self.last_heard and host not in self.suspected:
             self.suspected[host] = now
@@ -271,6 +290,7 @@
             )
 
     def _is_lost(self, host: str, now: float) -> bool:
+        """Return whether a balancer was suspected or silent for too long."""
         since = self.suspected.get(host)
         if since is not None:
             return now - since >= defaults.SUSPICION_TIMEOUT_SECONDS
@@ -285,10 +305,10 @@
         """Record the incarnation of a change, and disseminate the change."""
         self.incarnations[change.host] = change.incarnation
         rounds = (len(self.last_heard) + 1).bit_length()
-        self.updates[change.host] = _Update(
+        self.updates[change.host] = _PendingChange(
             change, rounds * defaults.RETRANSMIT_FACTOR
         )
 
 
-def _get_remaining_sends(update: _Update) -> int:
+def _get_remaining_sends(update: _PendingChange) -> int:
     return update.remaining_sends
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/placement.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/placement.py
@@ -24,8 +24,8 @@
 _HASH_RANGE: Final = float(1 << _HASH_BITS)
 
 
-class _TypicalLoad(NamedTuple):
-    """Typical values of the candidates for a flow."""
+class _TypicalResponse(NamedTuple):
+    """Typical load and response time of the candidates for a new flow."""
 
     #: Busy requests per open flow.
     busy_per_flow: float
@@ -84,7 +84,7 @@
                 key,
                 now,
             )
-    typical = _TypicalLoad(
+    typical = _TypicalResponse(
         busy_per_flow,
         _compute_median([view.report.answer_ms for view in candidates]),
     )
@@ -95,7 +95,10 @@
 
 
 def _compute_median(values: list[int]) -> int:
-    """Return the lower median; importing statistics would take 20 ms."""
+    """Return the lower median of values; sorts them in place.
+
+    Importing statistics would take 20 ms.
+    """
     values.sort()
     return values[(len(values) - 1) // 2]
 
@@ -112,8 +115,12 @@
     view: AgentView,
     key: bytes,
     now: float,
-    typical: _TypicalLoad,
+    typical: _TypicalResponse,
 ) -> tuple[float, int]:
+    """Return a sort key for agents: the expected load per slot, then a hash.
+
+    Slow upstreams and other availability zones cost more.
+    """
     report = view.report
     slots: float = view.upstream.slots
     if now < view.warm_up_until:
@@ -130,10 +137,10 @@
 
 
 def _round_cost(cost: float) -> float:
-    """Return equal costs for queues of similar length.
+    """Round the cost of an agent down, so that similar queues cost the same.
 
-    Among these the hash decides, so that copies of an opening packet that the
-    routers send through another balancer go to the same agent.
+    Among equal costs a hash decides, so that copies of an opening packet that
+    the routers send through another balancer go to the same agent.
     """
     if cost < defaults.QUEUE_LOAD_THRESHOLD:
         return cost
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
@@ -15,7 +15,7 @@
 from keelgap_balancer.packets.catalog_changes import (
     change_catalog,
     forget_former_routes,
-    forget_gone,
+    forget_missing_upstreams,
 )
 from keelgap_balancer.packets.dead_flows import serves_route
 from keelgap_balancer.packets.effects import (
@@ -46,11 +46,11 @@
 from keelgap_balancer.packets.forwarding import forward
 from keelgap_balancer.packets.notices import make_notice
 from keelgap_balancer.packets.owner_search import (
+    continue_overdue_searches,
     continue_search,
-    handle_covered,
-    handle_found,
+    resume_answered,
+    resume_denied,
     search_for_owner,
-    skip_unresponsive,
 )
 from keelgap_balancer.packets.parking import drain_parked, park
 from keelgap_balancer.packets.peer_bootstrap import (
@@ -89,6 +89,7 @@
 
 
 def _handle_caller_packet(state: PacketState, event: CallerPacket) -> Effects:
+    """Route a caller's packet, or buffer it until the first catalog."""
     datagram = event.datagram
     now = event.now
     state.caller_waits.last_packet_at = now
@@ -104,6 +105,10 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
+    """Forward a caller's packet, or place its flow if it opens a new one.
+
+    If the owner of an open flow is unknown, it is searched for.
+    """
     flags = state.format.flags(datagram)
     if flags & _SYN:
         return open_flow(state, key, datagram, now)
@@ -121,7 +126,11 @@
 
 
 def _is_owner_lost(owner: AgentView, now: float) -> bool:
-    """Return whether an owner is gone permanently."""
+    """Return whether the upstream that held a flow is gone for good.
+
+    It was replaced by a restarted process, or its entry and messages have
+    both long been missing.
+    """
     if owner.is_replaced:
         return True
     since = owner.missing_since
@@ -135,7 +144,10 @@
     owner: AgentView,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Forward a packet that another agent returned, up to MAX_HOPS times."""
+    """Forward a packet that another agent returned to the owner of its flow.
+
+    A packet is forwarded at most MAX_HOPS times.
+    """
     hop = event.envelope.hop + 1
     if hop > defaults.MAX_HOPS:
         return (Decided('drop_too_many_hops'),)
@@ -143,6 +155,10 @@
 
 
 def _handle_envelope(state: PacketState, event: EnvelopeArrived) -> Effects:
+    """Handle a message from an agent or another balancer.
+
+    A message from an agent also repeats lookups that it left unanswered.
+    """
     handler = _BALANCER_HANDLERS.get(event.envelope.kind)
     if handler is not None:
         return handler(state, event)
@@ -159,6 +175,7 @@
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
+    """Pass a message from a known agent to the handler of its kind."""
     handler = _ENVELOPE_HANDLERS.get(event.envelope.kind)
     if handler is None:
         return (Decided('drop_unexpected_kind'),)
@@ -173,6 +190,7 @@
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
+    """Record an agent's load report, and the ejection state in it."""
     report = unpack_report(event.envelope.content)
     if state.agents_by_host.get(view.host) is not view:
         # The view is of an upstream that gets no new flows from here.
@@ -188,7 +206,10 @@
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
-    """Send a notice to an agent that has just started."""
+    """Answer an agent that has just started with a notice.
+
+    The notice tells it what the catalog holds on its upstream and service.
+    """
     notice = make_notice(state, view, event.now)
     return (view.send(EnvelopeKind.ASK, notice, REPORT_FORMAT),)
 
@@ -198,7 +219,8 @@
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
-    return handle_found(state, event)
+    """Handle a directory node's answer to a lookup."""
+    return resume_answered(state, event)
 
 
 def _handle_covered(
@@ -206,7 +228,8 @@
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
-    return handle_covered(state, event)
+    """Handle a directory node's message on which agents it covers."""
+    return resume_denied(state, event)
 
 
 def _handle_owned(
@@ -214,6 +237,7 @@
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
+    """End the search for a flow, as an agent reported that it holds it."""
     key = event.envelope.content
     if len(key) != FLOW_KEY_LENGTH:
         return (Decided(MalformedEnvelope.code),)
@@ -240,7 +264,11 @@
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
-    """Offer a returned opening packet elsewhere, or continue a search."""
+    """Handle a packet that an agent returned, as it does not have the flow.
+
+    An opening packet is offered to another agent.  Another packet is forwarded
+    to the known owner of its flow, or the search for the owner continues.
+    """
     datagram = event.envelope.content
     if not state.format.has_valid_length(datagram):
         return (Decided(MalformedEnvelope.code),)
@@ -264,7 +292,7 @@
         opening = OpeningPacket(key, route, datagram, event.now, hop, start_ms)
         return reoffer_flow(state, opening, view)
     search = state.searches.setdefault(key, FlowSearch(event.now))
-    search.missed.add(view.host)
+    search.denied_by.add(view.host)
     if not search.query_count and serves_route(view, route):
         # The packet had been forwarded to the cached owner, which returned it;
         # that counts as the first query.
@@ -277,6 +305,10 @@
 
 
 def _handle_catalog(state: PacketState, event: CatalogChanged) -> Effects:
+    """Put a catalog in force, and serve what waited for one.
+
+    That is parked packets and suspended searches.
+    """
     effects = change_catalog(state, event.catalog, event.now)
     parked = drain_parked(state, event.now) if state.has_catalog else ()
     parked_effects = tuple(
@@ -294,6 +326,7 @@
 
 
 def _handle_store_polled(state: PacketState, event: StorePolled) -> Effects:
+    """Record up to which revision the catalog is complete; resume searches."""
     state.confirmed_revision = max(state.confirmed_revision, event.revision)
     state.latest_change = max(state.latest_change, event.latest_change)
     state.reaches_store = event.reaches_store
@@ -301,17 +334,22 @@
 
 
 def _handle_peer_stamp(state: PacketState, event: PeerStampReceived) -> Effects:
+    """Record the latest store change that another balancer knows of.
+
+    Shortly after the start, also ask it which services hosts served before.
+    """
     state.record_stamp(event.stamp)
     return query_peer(state, event.sender, event.now)
 
 
 def _handle_timer(state: PacketState, event: TimerFired) -> Effects:
+    """Drop what has expired, and send what is due."""
     now = event.now
     state.owners.expire(now)
     state.caller_waits.expire(now)
     state.latency_placement.flow_durations.expire(now)
     expired = expire_searches(state, now)
-    forget_gone(state, now)
+    forget_missing_upstreams(state, now)
     expire_unlisted(state, now)
     forget_ejections(state)
     forget_former_routes(state, now)
@@ -323,7 +361,7 @@
         *broadcast_refused(state, now),
         *expired,
         *resumed,
-        *skip_unresponsive(state, now),
+        *continue_overdue_searches(state, now),
         *poll_agents(state, now),
     )
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/refusals.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/refusals.py
@@ -28,7 +28,7 @@
     key: bytes,
     now: float,
 ) -> Effects:
-    """Expect a retry of a refused caller, here or at another balancer."""
+    """Count a refusal, and expect a retry of its caller at any balancer."""
     state.caller_waits.record_refusal(key, now)
     counter = Decided(f'refused_priority_{route.priority}')
     return counter, *broadcast_refused(state, now)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/report_polling.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/report_polling.py
@@ -23,7 +23,10 @@
 
 
 def poll_agents(state: PacketState, now: float) -> Effects:
-    """Request load reports from the agents that are due."""
+    """Send a notice to agents due for a poll, and request load reports.
+
+    With more than MAX_POLLED_AGENTS, a batch is polled at each call.
+    """
     if len(state.agents_by_host) > defaults.MAX_POLLED_AGENTS:
         batch = _next_batch(state)
     else:
@@ -47,7 +50,9 @@
 
 
 def _next_batch(state: PacketState) -> list[AgentView]:
-    """Return the next agents of the round; begin a new one if none are left.
+    """Return the next agents to poll in this round.
+
+    If none are left, none are returned, and a new round begins.
 
     Each balancer has its own order.  Balancers that start together and share
     an order would poll each agent at the same moment, and then not again for
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/rotation.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/rotation.py
@@ -20,7 +20,10 @@
 
 
 def has_slow_link(own: BalancerInfo, others: list[BalancerInfo]) -> bool:
-    """Return whether this balancer should withdraw for its slow link."""
+    """Return whether this balancer should withdraw because of its slow link.
+
+    ``others`` are the other balancers of its availability zone.
+    """
     fast_megabits = own.link_megabits * defaults.SLOW_LINK_FACTOR
     fast = [one for one in others if one.link_megabits >= fast_megabits]
     if not own.link_megabits or len(fast) < defaults.MIN_FAST_LINKS:
@@ -32,7 +35,7 @@
 
 
 class _Target(NamedTuple):
-    """Whether the links of the zone require withdrawal, and since when."""
+    """Whether the zone's link speeds call for withdrawal, and since when."""
 
     is_withdrawn: bool
     since: float
@@ -49,7 +52,7 @@
     def update(
         self, own: BalancerInfo, others: list[BalancerInfo], now: float
     ) -> bool:
-        """Return whether to stay out of rotation from now on.
+        """Decide again; return whether to stay out of rotation from now on.
 
         The balancer returns at once, since callers may need it.  It withdraws
         only after the links have required it for some time, since the
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/search_expiry.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/search_expiry.py
@@ -17,7 +17,10 @@
 
 
 def expire_searches(state: PacketState, now: float) -> Effects:
-    """Drop searches without a result; a later packet starts a new one."""
+    """Drop searches without a result in time, and log them.
+
+    A later packet of the flow starts a new search.
+    """
     expired = [
         key
         for key, search in state.searches.items()
@@ -44,7 +47,11 @@
 
 
 def _log_expired(state: PacketState, key: bytes, search: FlowSearch) -> Effects:
-    """Log which agents may hold a flow that was neither found nor reset."""
+    """Return a log line on the agents that may hold a flow not found.
+
+    It names those that no directory node denied, and counts those that too few
+    nodes denied.
+    """
     route = (
         state.find_route(search.latest_packet) if search.latest_packet else None
     )
@@ -63,6 +70,6 @@
         'hosts': [view.host for view in undenied[:MAX_LISTED]],
         'unsure': len(unsure),
         'nodes': directory_nodes,
-        'denied_by': tuple(search.denying_nodes),
+        'denied_by': tuple(search.answer_digests),
     }
     return (Decided('search_given_up', fields),)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
@@ -59,7 +59,7 @@
 
 
 class PacketBalancer:
-    """Balancer of opaque packet flows."""
+    """Passes events to the reducer and carries out its effects."""
 
     def __init__(
         self,
@@ -68,7 +68,10 @@
         process: PacketProcess,
         stack: ExitStack,
     ) -> None:
-        """Take open sockets; the stack closes whatever is opened here."""
+        """Create a balancer with open sockets, which does not serve yet.
+
+        The stack closes whatever the balancer opens.
+        """
         listen = settings.listen
         self.settings = settings
         self.process = process
@@ -178,20 +181,26 @@
         self.gossip.start(self.peer_socket, self.peer_port)
 
     def stop(self) -> None:
-        """Begin a planned stop: first the routers must stop sending here."""
+        """Begin a planned stop: from now on the balancer is not ready.
+
+        The loop stops once the routers send no more packets.
+        """
         if self.stopping_since is None:
             self.stopping_since = self.loop.clock()
             self.process.lines.log('stopping')
 
     def reload(self, settings: BalancerPacketSettings) -> tuple[str, ...]:
-        """Apply changed settings; only the seeds can be changed."""
+        """Apply changed settings; return the names of those applied.
+
+        Only the seeds can be changed.
+        """
         self.settings = settings
         self.peers.change_seeds(_parse_seeds(settings))
         return ('listen.seeds',)
 
     @property
     def can_serve(self) -> bool:
-        """Return whether this balancer can serve callers."""
+        """Return whether it has routes, is not stopping and not isolated."""
         is_staying = self.stopping_since is None
         can_serve = self.state.has_catalog and not self.is_isolated
         return is_staying and can_serve
@@ -210,6 +219,7 @@
     def _handle_peer_message(
         self, datagram: bytes, sender: tuple[str, int]
     ) -> None:
+        """Handle an envelope from an agent or another balancer."""
         try:
             envelope, stamp = unpack_envelope(datagram)
         except MalformedEnvelope as error:
@@ -224,6 +234,7 @@
         self._dispatch(EnvelopeArrived(now, sender[0], envelope, stamp))
 
     def _dispatch(self, event: PacketEvent) -> None:
+        """Pass an event to the reducer and carry out the effects."""
         state, effects = reduce(self.state, event)
         self.state = state
         self._carry_out(effects)
@@ -234,9 +245,11 @@
             handlers[type(effect)](effect)
 
     def _observe(self, effect: Observed) -> None:
+        """Record a duration in a histogram."""
         self.process.counters.observe(*effect)
 
     def _list_gauges(self) -> dict[str, float]:
+        """Return the values of all gauges by name, for the metrics page."""
         state = self.state
         now = self.loop.clock()
         follower = self.catalog.state
@@ -280,11 +293,16 @@
             self.process.counters.count('send_failed')
 
     def _apply_catalog(self, catalog: Catalog) -> None:
+        """Put a catalog in force and tell other balancers of its revision."""
         self._dispatch(CatalogChanged(self.loop.clock(), catalog))
         # Others must not declare flows dead by an older catalog.
         self.gossip.send_gossip()
 
     def _handle_store_state(self) -> None:
+        """Tell the reducer what the latest poll of the store has shown.
+
+        Other balancers are told if the store began or ceased to answer.
+        """
         follower = self.catalog.state
         answered = follower.failing_since is None
         if answered != self.state.reaches_store:
@@ -301,12 +319,14 @@
         )
 
     def _catch_up(self, effect: RefreshCatalog) -> None:
+        """Read the latest changes of the store."""
         self.catalog.catch_up()
 
     def _count_store_call(self, call: str, outcome: str) -> None:
         self.process.counters.count(f'store_{call}_{outcome}')
 
     def _make_ready(self, query: str) -> Page:
+        """Return the page that tells routers whether to send callers here."""
         is_ready = self.can_serve and not self.rotation.is_withdrawn
         if is_ready != self.was_ready:
             self.was_ready = is_ready
@@ -314,6 +334,7 @@
         return make_ready_page(is_ready)
 
     def _tick(self) -> None:
+        """Apply timeouts and check isolation, rotation and a planned stop."""
         now = self.loop.clock()
         self._dispatch(TimerFired(now))
         self._update_isolation(now)
@@ -322,7 +343,7 @@
             self._check_stop(now, self.stopping_since)
 
     def _update_isolation(self, now: float) -> None:
-        """Detect whether this balancer is isolated from all other processes.
+        """Record and log whether this balancer is isolated from all others.
 
         The routers still reach it then, but a balancer of another
         availability zone serves their callers better.
@@ -336,7 +357,10 @@
         self.process.lines.log(event, heard_at=round(self.last_message_at, 3))
 
     def _update_rotation(self, now: float) -> None:
-        """Withdraw in favour of balancers with faster links, or return."""
+        """Announce the link, and withdraw from rotation if it is slow.
+
+        A withdrawn balancer is not ready.
+        """
         megabits = int(self.settings.listen.link_megabits)
         offered_megabits = megabits if self.can_serve else 0
         if self.balancer_infos.update_own_link(offered_megabits):
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
@@ -50,12 +50,13 @@
 
 
 class PollingRound:
-    """Order in which to poll agents that are too many to poll at once."""
+    """Agents still to be polled in turn, when too many for one poll."""
 
     __slots__ = ('remaining', 'zone_agent_count', 'seed')
 
     def __init__(self, now: float) -> None:
         """Start before the first round."""
+        #: Agents not yet polled in the current round.
         self.remaining: Iterator[AgentView] = iter(())
         #: Number of agents in the balancer's own availability zone.
         self.zone_agent_count = 0
@@ -65,15 +66,17 @@
 
 
 class ExclusionDecision(NamedTuple):
-    """Cached decision on excluding the ejected upstreams of a large service."""
+    """Cached decision whether to exclude ejected upstreams of a service."""
 
+    #: All upstreams of the service when the decision was made.
     views: tuple[AgentView, ...]
+    #: When the decision was made.
     at: float
     #: Whether the other upstreams have a sufficient share of the slots.
     is_capacity_sufficient: bool
 
     def is_valid(self, views: tuple[AgentView, ...], now: float) -> bool:
-        """Return whether the decision still applies to these upstreams."""
+        """Return whether it is recent and was made for these upstreams."""
         is_same = self.views is views
         return is_same and now - self.at < defaults.EXCLUSION_CACHE_SECONDS
 
@@ -95,7 +98,7 @@
 
 
 class CatalogGaps:
-    """What the catalog in force may lack about the owners of flows."""
+    """What the catalog in force may lack about the owners of open flows."""
 
     __slots__ = (
         'queried_peers',
@@ -148,6 +151,7 @@
         self.agents: dict[UpstreamIdentity, AgentView] = {}
         #: The agent of the latest upstream on each host.
         self.agents_by_host: dict[str, AgentView] = {}
+        #: The agents of ``agents_by_host``, by the service of their upstream.
         self.agents_by_service: dict[str, tuple[AgentView, ...]] = {}
         #: Upstreams in ``agents`` whose entry is missing.
         self.missing: set[UpstreamIdentity] = set()
@@ -192,7 +196,7 @@
         return view.upstream.availability_zone in self.catalog.evacuated
 
     def is_newly_started(self, now: float) -> bool:
-        """Return whether there may be live upstreams never seen here.
+        """Return whether live upstreams may exist that were never listed here.
 
         Entries that lapsed while the store was unavailable are renewed within
         MISSING_ENTRY_SECONDS.
@@ -203,11 +207,18 @@
         return now - first_catalog_at < defaults.MISSING_ENTRY_SECONDS
 
     def is_after_catalog_gap(self, now: float) -> bool:
-        """Return whether entries may have lapsed unread and be renewed soon."""
+        """Return whether entries may have lapsed before they were read here.
+
+        Upstreams that are alive renew them within MISSING_ENTRY_SECONDS of
+        the catalog that has the gap.
+        """
         return now - self.catalog_gaps.gap_at < defaults.MISSING_ENTRY_SECONDS
 
     def may_have_missed_attempts(self, now: float) -> bool:
-        """Return whether callers may have tried before this could serve."""
+        """Return whether a caller may have tried before its first packet here.
+
+        This is assumed until SETTLING_SECONDS after the first catalog.
+        """
         first_catalog_at = self.first_catalog_at
         return (
             first_catalog_at is None
@@ -215,7 +226,10 @@
         )
 
     def make_stamp(self) -> Stamp:
-        """Return the stamp on the store that each sent envelope carries."""
+        """Return what every sent envelope tells the receiver of the store.
+
+        That is the latest known change, and whether the store is unavailable.
+        """
         return Stamp(self.latest_change, not self.reaches_store)
 
     def record_stamp(self, stamp: Stamp) -> None:
@@ -223,7 +237,10 @@
         self.latest_change = max(self.latest_change, stamp.latest_change)
 
     def find_route(self, datagram: bytes) -> PacketRoute | None:
-        """Return the route of an open flow, which may have been removed."""
+        """Return the route of a packet, or None if it is unknown.
+
+        Routes that were removed a short time ago are found, too.
+        """
         route_key = self.format.route_key(datagram)
         route = self.routes.get(route_key)
         if route is not None:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/suspended_searches.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/suspended_searches.py
@@ -24,14 +24,14 @@
 
 
 def resume_awaiting_catalog(state: PacketState, now: float) -> Effects:
-    """Resume searches that waited for a later catalog."""
+    """Resume searches whose required catalog revision has been read."""
     effects: list[PacketEffect] = []
     for key, search in tuple(state.searches.items()):
         if not search.awaits_catalog:
             continue
         if search.required_revision > state.confirmed_revision:
             continue
-        search.resume(now)
+        search.end_suspension(now)
         search.restart_lookups()
         effects.extend(resume_search(state, search, key, now))
     return tuple(effects)
@@ -48,7 +48,7 @@
     for key, search in tuple(state.searches.items()):
         if search.awaiting_entries_since is None:
             continue
-        search.resume(now)
+        search.end_suspension(now)
         if not _is_still_denied(state, search):
             search.restart_lookups()
         effects.extend(resume_search(state, search, key, now))
@@ -56,19 +56,19 @@
 
 
 def _is_still_denied(state: PacketState, search: FlowSearch) -> bool:
-    """Return whether the nodes that denied a flow cover the same agents."""
+    """Return whether nodes that denied a flow still cover the same agents."""
     return all(
         state.directory_nodes[host].digest == digest
-        for host, digest in search.denying_nodes.items()
+        for host, digest in search.answer_digests.items()
     )
 
 
 def retry_lookups(state: PacketState, host: str, now: float) -> Effects:
-    """Repeat the lookups that a directory node, though alive, did not answer.
+    """Repeat lookups that the directory node on a host left unanswered.
 
-    It started after the lookup was sent, so nothing received it.  The lookup
-    is repeated once only: a node that is alive but never answers must not
-    delay searches.
+    A message from it shows that it is alive.  It started after the lookup was
+    sent, so nothing received it.  The lookup is repeated once only: a node
+    that is alive but never answers must not delay searches.
     """
     node = state.directory_nodes.get(host)
     if node is None or node.lookup_sent_at is None or node.was_lookup_repeated:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/unlisted_agents.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/unlisted_agents.py
@@ -1,11 +1,11 @@
 """Agents that may serve a service for which the catalog does not list them.
 
 Addresses are reused, and balancers learn of that at different times.  A
-balancer with an outdated catalog may open flows at an upstream that no balancer
-has read of yet, on a host that the catalog in force here lists for another
-service.  Such an agent is detected in three ways: its host was listed for the
-service until a moment ago, its own envelopes name the service, or other
-balancers still list it for the service.
+balancer with an outdated catalog may open flows at an upstream that no
+balancer has read of yet, on a host that the catalog in force here lists for
+another service.  Such an agent is detected in three ways: its host was listed
+for the service until a moment ago, its own envelopes name the service, or
+other balancers still list it for the service.
 """
 
 from collections.abc import Mapping
@@ -31,7 +31,7 @@
 
 
 def list_unlisted(state: PacketState, route: PacketRoute) -> list[AgentView]:
-    """Return the unlisted agents of all services of a route."""
+    """Return agents of a route's services that the catalog does not list."""
     if not state.catalog_gaps.unlisted:
         return []
     services = {share.service for share in route.shares}
@@ -47,7 +47,10 @@
     route: PacketRoute,
     host: str,
 ) -> AgentView | None:
-    """Return the agent on a host that may hold flows of a route."""
+    """Return the agent on a host that may hold flows of a route, or None.
+
+    It may be listed in the catalog or unlisted.
+    """
     services = {share.service for share in route.shares}
     listed = state.agents_by_host.get(host)
     if listed is not None and listed.upstream.service in services:
@@ -63,7 +66,10 @@
     before: Mapping[str, AgentView],
     now: float,
 ) -> None:
-    """Record agents whose host the catalog now lists for another service.
+    """Update the unlisted agents after the catalog or its indexes changed.
+
+    Agents whose host is listed for another service now are recorded, and those
+    listed for their own service are forgotten.
 
     ``before`` maps hosts to agents as they were before the change.
     """
@@ -83,7 +89,7 @@
 
 
 def _record_view(state: PacketState, view: AgentView, now: float) -> AgentView:
-    """Record an agent without a catalog entry and return its view.
+    """Record an unlisted agent, seen at this moment, and return its view.
 
     The view stands for the host and service, not for one process start.
     """
@@ -101,7 +107,9 @@
     state: PacketState,
     event: EnvelopeArrived,
 ) -> tuple[AgentView | None, Effects]:
-    """Return the agent that sent an envelope, and effects to log.
+    """Return the agent that sent an envelope, or None, and log lines.
+
+    Its message is recorded, and the service that it names.
 
     The service named in the envelope takes precedence over the one that the
     catalog lists.
@@ -158,7 +166,7 @@
 
 
 def _find_service(state: PacketState, tag: int) -> str | None:
-    """Return the service with a tag, if a route leads to it."""
+    """Return the service that has a tag, or None if no route leads to it."""
     services = (
         share.service
         for route in state.routes.values()
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/views.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/views.py
@@ -43,7 +43,7 @@
     )
 
     def __init__(self, upstream: PacketUpstream, now: float) -> None:
-        """Start without any message received from the agent."""
+        """Start without any message from the agent."""
         self.upstream = upstream
         self.host = upstream.address.host
         self.service_tag = compute_service_tag(upstream.service)
@@ -56,11 +56,13 @@
         self.reported_at = now
         #: New flows offered to the agent since its last load report.
         self.flows_since_report = 0
+        #: When the latest message from the agent arrived.
         self.last_heard = float('-inf')
         #: When the agent was last sent a trial flow.
         self.last_trial_at = float('-inf')
         #: Since when a reply of the agent is due; None if none is.
         self.reply_due_since: float | None = None
+        #: When the agent is due for a poll.
         self.next_poll_at = now
         #: When it was last sent a notice because a node of its directory
         #: did not cover it.
@@ -78,7 +80,7 @@
         self.is_replaced = False
 
     def update_upstream(self, upstream: PacketUpstream, now: float) -> None:
-        """Apply an entry of the same process.
+        """Apply a catalog entry of the same upstream process.
 
         An upstream may need to warm up again after its start.  An entry that
         was read before does not extend the warm-up.
@@ -89,7 +91,10 @@
         self.missing_since = None
 
     def mark_replaced(self, now: float) -> None:
-        """Record that a later process replaced it, which ended its flows."""
+        """Record that a later process replaced the upstream's process.
+
+        Its flows have ended.
+        """
         self.is_replaced = True
         self.missing_since = now
 
@@ -121,17 +126,17 @@
         self.reply_due_since = None
 
     def expect_answer(self, now: float) -> None:
-        """Expect a reply from now on, unless one is due already."""
+        """Record that the agent owes a reply, unless it does already."""
         if self.reply_due_since is None:
             self.reply_due_since = now
 
     def is_unresponsive(self, now: float) -> bool:
-        """Return whether a reply of the agent is overdue."""
+        """Return whether the agent has owed a reply for too long."""
         since = self.reply_due_since
         return since is not None and now - since > defaults.UNRESPONSIVE_SECONDS
 
     def accepts_flows(self) -> bool:
-        """Return whether it accepts new flows, as far as is known."""
+        """Return whether its upstream is listed, active and not closed."""
         return (
             self.missing_since is None
             and self.upstream.state == 'active'
@@ -139,7 +144,11 @@
         )
 
     def may_be_alive(self, now: float) -> bool:
-        """Return whether it still runs although its entry is missing."""
+        """Return whether the upstream may run although its entry is missing.
+
+        Its agent has sent messages since, and the entry is not missing for
+        long.
+        """
         since = self.missing_since
         if since is None or now - since >= defaults.MISSING_ENTRY_SECONDS:
             return False
@@ -149,7 +158,10 @@
 
 
 class DirectoryNodeView:
-    """View of one node of a flow directory."""
+    """Lookups to one node of a flow directory, and which agents it covers.
+
+    A node covers an agent if it knows all its flows.
+    """
 
     __slots__ = (
         'lookup_sent_at',
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -101,7 +101,7 @@
         self.assertEqual(reset, SendReset(make_packet(FLOW, SYN)))
         self.assertEqual(decided.name, 'reset_no_room')
         self.assertEqual(counted, Decided('refused_priority_0'))
-        self.assertEqual(len(self.asked), defaults.MIN_TIME_REFUSALS)
+        self.assertEqual(len(self.asked), defaults.MIN_LATE_DECLINES)
 
     def test_whoever_reports_room_is_asked_before(self) -> None:
         """No refusal while anybody has room."""
@@ -125,7 +125,7 @@
         """As an agent of an earlier release gives flows back."""
         self.report_full(*self.hosts)
         effects = self.send(SYN)
-        for _ in range(defaults.MIN_TIME_REFUSALS):
+        for _ in range(defaults.MIN_LATE_DECLINES):
             effects = self.give_back(effects[0], room_ms=0)
         self.assertIsInstance(effects[0], SendToAgent)
 
@@ -333,7 +333,9 @@
             shares.record_offered(QUEUE, number.to_bytes(4, 'big'), self.now)
         self.assertEqual(len(shares.counts), defaults.MAX_CALLERS)
         got = 5 * defaults.MAX_CALLERS // 100
-        self.assertGreater(shares.read(QUEUE, HOST, self.now), got - 1)
+        self.assertGreater(
+            shares.get_recent_flows(QUEUE, HOST, self.now), got - 1
+        )
 
 
 class FormatTests(AdmissionTestCase):
--- a/tests/packets/test_given_back.py
+++ b/tests/packets/test_given_back.py
@@ -68,7 +68,7 @@
 
 def confuse(search: Any) -> set[str]:
     """Stand in for a search that takes what was given back for denied."""
-    return search.missed
+    return search.denied_by
 
 
 def ignore(search: Any, hosts: set[str]) -> None:
--- a/tests/packets/test_oracle.py
+++ b/tests/packets/test_oracle.py
@@ -80,7 +80,7 @@
     effects: list[Any] = []
     for key in keys:
         found = state.searches[key]
-        found.resume(now)
+        found.end_suspension(now)
         route = state.find_route(found.latest_packet)
         effects.extend(
             dead_flows.conclude_search(state, route, found, key, now)
@@ -147,7 +147,7 @@
     ),
     'an upstream forgotten with its entry': (
         balancer_reducer,
-        'forget_gone',
+        'forget_missing_upstreams',
         forget_at_once,
     ),
     'a wrong count of work': (admission, '_release', count_twice),
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -347,7 +347,7 @@
         """Their catalog lets them ask it."""
         self.wait_for_catalog()
         search = self.state.searches[FLOW.key]
-        search.denying_nodes.pop(FIRST)
+        search.answer_digests.pop(FIRST)
         node = self.state.directory_nodes[FIRST]
         node.lookup_sent_at = self.now
         node.was_lookup_repeated = False
