--- a/packages/keelgap-agent/src/keelgap_agent/packets/capacity/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/capacity/defaults.py
@@ -68,7 +68,7 @@
 OVERLOAD_SECONDS: Final = 1.0
 
 #: Weight of a refused flow in the load.  It is counted by each agent that was
-#: asked; their number is ``MIN_TIME_REFUSALS`` of the balancer.
+#: asked; their number is ``MIN_LATE_DECLINES`` of the balancer.
 REFUSED_WEIGHT: Final = 1 / 3
 
 #: A request first made at least so many milliseconds ago is a retry after a
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/__main__.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/__main__.py
@@ -26,7 +26,7 @@
 
 
 def _load_server() -> ServerFactory[BalancerPacketSettings, PacketSockets]:
-    """Import the server late, when its sockets are already open."""
+    """Import and return the balancer's class, once its sockets are open."""
     from keelgap_balancer.packets.server import (  # noqa: PLC0415, WPS433
         PacketBalancer,
     )
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/admission.py
@@ -35,7 +35,7 @@
     key: bytes,
     now: float,
 ) -> Excess | None:
-    """Return by how much a caller exceeds its fair share, or None.
+    """Return the recent flows of a caller at or above its share, or None.
 
     None is returned for a caller below its share, and if no level applies.
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/catalog_changes.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/catalog_changes.py
@@ -135,7 +135,7 @@
     upstream: PacketUpstream,
     now: float,
 ) -> str:
-    """Apply the entry of an upstream; return the logged change, or ''."""
+    """Apply the entry of an upstream; return its change to log, or ''."""
     identity = upstream.identity
     view = state.agents.get(identity)
     if view is None:
@@ -168,7 +168,7 @@
     catalog: Catalog,
     now: float,
 ) -> str:
-    """Mark an upstream process without an entry; return the logged change.
+    """Mark an upstream process without an entry; return its change to log.
 
     If the entry of another process has replaced its entry, it has restarted
     and is forgotten at once.
@@ -223,7 +223,7 @@
 
 
 def _rebuild_indexes(state: PacketState) -> None:
-    """Index agents by service and host, and drop what the indexes outdate.
+    """Index agents by service and host; drop data about replaced agents.
 
     An address may be reused before the entry of its former upstream expires.
     Of two upstreams on one host, one with an entry takes precedence over one
@@ -288,7 +288,7 @@
 
 
 def _should_forget(view: AgentView, now: float) -> bool:
-    """Return whether its entry and messages have both long been missing."""
+    """Return whether an upstream has long had no entry and sent no message."""
     since = view.missing_since
     if since is None or now - since <= defaults.MISSING_ENTRY_SECONDS:
         return False
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/dead_flows.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/dead_flows.py
@@ -1,9 +1,9 @@
 """Decide when an open flow is dead, and reset it towards its caller.
 
 A flow is dead once each upstream of its route is known not to hold it: either
-its own agent denied the flow, or both directory nodes did on its behalf: the
-agents that record the owners of such flows.  A missing answer is not a denial.
-The log calls the decision that a flow is dead the verdict.
+its own agent denied the flow, or both directory nodes did on its behalf.
+Directory nodes are the agents that record the owners of such flows.  A missing
+answer is not a denial.  The log calls the decision on a flow the verdict.
 """
 
 from keelgap.catalog.models import PacketRoute
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
@@ -114,7 +114,8 @@
     retransmission.OPEN_TIMEOUT_SECONDS - TRANSIT_JITTER_SECONDS
 )
 
-#: How long after that a new flow of the caller is taken for its retry.
+#: How long after an opening was abandoned a new flow from the caller's host is
+#: taken for its retry.
 RETRY_WINDOW_SECONDS: Final = 1.0
 
 #: Longest pause of a caller between two attempts.  After an outage, callers
@@ -126,7 +127,8 @@
 #: its packet after 0.2 s, 0.6 s and 1.4 s.
 RESET_AGE_SECONDS: Final = 0.6
 
-#: How much longer it may have waited: until its last retransmission.
+#: How much longer than RESET_AGE_SECONDS that caller may have waited: until its
+#: last retransmission.
 RESET_AGE_UNCERTAINTY_SECONDS: Final = 0.8
 
 #: Maximum number of openings that are remembered.  10,000 are a
@@ -207,7 +209,8 @@
 #: or 4 KB/s.
 MAX_POLLED_AGENTS: Final = 64
 
-#: Polls in each interval of the timer in that case.  This makes 10 a second.
+#: Polls in each interval of the timer with more agents than
+#: MAX_POLLED_AGENTS.  This makes 10 a second.
 POLLS_PER_TICK: Final = 1
 
 #: An agent whose reply is due for this long gets no new flows while there are
@@ -236,14 +239,15 @@
 #: long.
 UNLISTED_SECONDS: Final = 18.0
 
-#: How long after its start a balancer asks the balancers that it hears from
-#: for the hosts that they list, with the following pause in between.  It has
-#: heard from all of a small fleet after a few rounds.
+#: How long after its first catalog a balancer asks the balancers that it hears
+#: from for the hosts that they list.  It has heard from all of a small fleet
+#: after a few rounds.
 INHERIT_SECONDS: Final = 2.5
+#: Pause between two such queries to one balancer.
 INHERIT_INTERVAL_SECONDS: Final = 1.0
 
-#: Maximum number of balancers of which it is remembered that they were
-#: answered.  Each of them is sent one message.
+#: Maximum number of balancers that are remembered as having got the answer to
+#: such a query.  Each of them is sent one message.
 MAX_INHERITING: Final = 64
 
 #: Cost of placing a flow in another availability zone, as a multiple of the
@@ -333,12 +337,14 @@
 #: long, and a failure of most upstreams has another cause than the upstreams.
 MIN_SERVING_SHARE: Final = 0.5
 
-#: With more upstreams of a service, that share is not computed anew for each
-#: flow.  For 1,000 upstreams this takes 0.4 ms.
+#: With more upstreams of a service than this, it is not computed anew for each
+#: flow whether the others have MIN_SERVING_SHARE of the slots.  For 1,000
+#: upstreams this takes 0.4 ms.
 EXCLUSION_CACHE_THRESHOLD: Final = 64
 
-#: How long the result is cached, since agents become unresponsive in the
-#: meantime.  It is a tenth of the time after which they count as that.
+#: How long it is cached whether the others have MIN_SERVING_SHARE of the slots.
+#: Agents become unresponsive in the meantime; this is a tenth of
+#: UNRESPONSIVE_SECONDS.
 EXCLUSION_CACHE_SECONDS: Final = 0.035
 
 #: The agent of an ejected upstream accepts a new flow that was offered this
@@ -367,7 +373,7 @@
 #: Maximum duration of a planned stop.  The platform kills after 6 s.
 MAX_STOP_SECONDS: Final = 4.5
 
-#: Number of agents that must refuse a new flow for lack of time before the
+#: Number of agents that must decline a new flow for lack of time before the
 #: balancer refuses it.  The reports by which they were chosen were up to 50 ms
 #: old.
 MIN_LATE_DECLINES: Final = 3
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/directory_client.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/directory_client.py
@@ -117,7 +117,7 @@
     state: PacketState,
     event: EnvelopeArrived,
 ) -> tuple[LookupResponse, Effects]:
-    """Return the answer in an envelope, and the next lookup for its sender.
+    """Decode a directory node's answer; return it and the next lookup to send.
 
     Raises MalformedEnvelope.
     """
@@ -152,9 +152,10 @@
 
 
 def notify_uncovered(state: PacketState, host: str, now: float) -> Effects:
-    """Tell agents that a directory node does not cover which nodes exist.
+    """Send notices to agents that the directory node on a host does not cover.
 
-    They may have just started, and their next poll may be far away.
+    A notice names the nodes of the directory.  The agents may have just
+    started, and their next poll may be far away.
     """
     covered = state.directory_nodes[host].covered
     service = state.agents_by_host[host].upstream.service
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/flow_opening.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/flow_opening.py
@@ -60,7 +60,7 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
-    """Offer a new flow to an agent, or reset it.
+    """Offer a new flow to an agent, or reset or park it.
 
     Copies of its opening packet are offered to the same agent.
     """
@@ -102,7 +102,7 @@
 def _place_unless_over_share(
     state: PacketState, opening: OpeningPacket
 ) -> Effects:
-    """Offer a new flow to an agent, or reset it if its caller has its share.
+    """Offer a new flow, or reset it if its caller has reached its share.
 
     Shares apply only with the ``admission`` feature enabled.
     """
@@ -272,7 +272,8 @@
     """Return the effect that offers a flow to an agent.
 
     It carries the remaining time until the route's target, and the estimate of
-    the caller's wait.
+    the caller's wait.  The opening is recorded, and the agent's answer is
+    expected from now on.
     """
     now = opening.now
     agent.expect_answer(now)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip.py
@@ -145,6 +145,7 @@
 
 
 def _iterate_claims(octets: bytes) -> Iterator[ReaderClaim]:
+    """Decode claims of readers; raise MalformedGossip for a partial one."""
     if len(octets) % _CLAIM.size:
         raise MalformedGossip(len(octets))
     for host, age in _CLAIM.iter_unpack(octets):
@@ -152,6 +153,7 @@
 
 
 def _iterate_changes(octets: bytes) -> Iterator[PeerChange]:
+    """Decode changes; raise MalformedGossip for an unknown status."""
     for host, incarnation, status in _CHANGE.iter_unpack(octets):
         try:
             change_status = PeerStatus(status)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/gossip_driver.py
@@ -85,7 +85,10 @@
             self._send_to_peer(host, wants_reply=wants_reply)
 
     def broadcast(self, effect: SendToBalancers) -> None:
-        """Send an envelope to MAX_REFUSED_RECEIVERS other balancers."""
+        """Send an envelope other than gossip to other balancers.
+
+        At most MAX_REFUSED_RECEIVERS get it.
+        """
         envelope = Envelope(
             effect.kind,
             hop=0,
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/flow_durations.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/flow_durations.py
@@ -68,7 +68,7 @@
         return self.long_flow_shares.get(route_name, _DEFAULT_SHARE)
 
     def _learn(self, route_name: str, *, is_long: bool) -> None:
-        """Update the share of a route for one watched flow that has ended."""
+        """Adjust the share of a route for a flow found to be short or long."""
         self._decrement_count(route_name)
         share = self.get_long_flow_share(route_name)
         weight = defaults.LONG_FLOW_SHARE_WEIGHT
@@ -78,7 +78,7 @@
         self.long_flow_shares[route_name] = share + weight * (is_long - share)
 
     def _decrement_count(self, route_name: str) -> None:
-        """Count one watched flow of a route less."""
+        """Subtract one from the number of watched flows of a route."""
         self.counts[route_name] -= 1
         if not self.counts[route_name]:
             self.counts.pop(route_name)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/recording.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/recording.py
@@ -15,7 +15,7 @@
     key: bytes,
     now: float,
 ) -> tuple[PacketEffect, ...]:
-    """Count a new flow placed at an agent, and learn how long it stays open.
+    """Count a new flow placed at an agent, and watch how long it stays open.
 
     Returns a log line, at a limited rate, if costs led to another availability
     zone.  Does nothing unless ``placement`` is enabled.
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/latency_placement/state.py
@@ -35,7 +35,7 @@
         views: tuple[View, ...],
         evacuated: Mapping[str, int],
     ) -> bool:
-        """Return whether it was made from these upstreams and zones.
+        """Return whether the order was made from these upstreams and zones.
 
         ``evacuated`` has the availability zones that are out of service.
         """
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_queries.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_queries.py
@@ -134,7 +134,7 @@
     unresponsive: list[AgentView],
     now: float,
 ) -> Effects:
-    """Query one of the agents that did not answer again; each in turn.
+    """Repeat the query to one agent that did not answer; to each in turn.
 
     A missing answer is not a denial.
     """
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_search.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_search.py
@@ -224,10 +224,7 @@
 
 
 def _has_stalled(search: FlowSearch) -> bool:
-    """Return whether a search of an open flow neither waits nor is suspended.
-
-    Without an event from outside it would make no progress.
-    """
+    """Return whether an open flow's search awaits no answer or catalog."""
     is_pending = search.pending_host is not None or bool(search.pending_lookups)
     return (
         bool(search.latest_packet)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/reducer.py
@@ -264,7 +264,7 @@
     event: EnvelopeArrived,
     view: AgentView,
 ) -> Effects:
-    """Handle a packet that an agent returned, as it does not have the flow.
+    """Handle a packet that an agent returned because it did not take it.
 
     An opening packet is offered to another agent.  Another packet is forwarded
     to the known owner of its flow, or the search for the owner continues.
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/refusals.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/refusals.py
@@ -28,7 +28,10 @@
     key: bytes,
     now: float,
 ) -> Effects:
-    """Count a refusal, and expect a retry of its caller at any balancer."""
+    """Count a refusal, and expect a retry of its caller.
+
+    The retry may come to any balancer, so the others are told.
+    """
     state.caller_waits.record_refusal(key, now)
     counter = Decided(f'refused_priority_{route.priority}')
     return counter, *broadcast_refused(state, now)
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/rotation.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/rotation.py
@@ -42,7 +42,7 @@
 
 
 class Rotation:
-    """Whether one balancer is withdrawn, with a delay against flapping."""
+    """Withdrawal of one balancer from rotation, delayed against flapping."""
 
     def __init__(self, now: float) -> None:
         """Start in rotation."""
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/search_expiry.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/search_expiry.py
@@ -47,10 +47,11 @@
 
 
 def _log_expired(state: PacketState, key: bytes, search: FlowSearch) -> Effects:
-    """Return a log line on the agents that may hold a flow not found.
+    """Return a log line on the agents that may still hold a flow.
 
-    It names those that no directory node denied, and counts those that too few
-    nodes denied.
+    It names those for which nobody denied the flow, and counts those for which
+    fewer than REPLICAS directory nodes did.  For a new flow or an unknown
+    route no line is returned.
     """
     route = (
         state.find_route(search.latest_packet) if search.latest_packet else None
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
@@ -357,7 +357,7 @@
         self.process.lines.log(event, heard_at=round(self.last_message_at, 3))
 
     def _update_rotation(self, now: float) -> None:
-        """Announce the link, and withdraw from rotation if it is slow.
+        """Announce the own link; leave rotation if it is slow, or return.
 
         A withdrawn balancer is not ready.
         """
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/state.py
@@ -76,7 +76,7 @@
     is_capacity_sufficient: bool
 
     def is_valid(self, views: tuple[AgentView, ...], now: float) -> bool:
-        """Return whether it is recent and was made for these upstreams."""
+        """Return whether the decision is recent and for these upstreams."""
         is_same = self.views is views
         return is_same and now - self.at < defaults.EXCLUSION_CACHE_SECONDS
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/suspended_searches.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/suspended_searches.py
@@ -56,7 +56,7 @@
 
 
 def _is_still_denied(state: PacketState, search: FlowSearch) -> bool:
-    """Return whether nodes that denied a flow still cover the same agents."""
+    """Return whether all nodes that denied a flow cover the same agents."""
     return all(
         state.directory_nodes[host].digest == digest
         for host, digest in search.answer_digests.items()
@@ -66,9 +66,9 @@
 def retry_lookups(state: PacketState, host: str, now: float) -> Effects:
     """Repeat lookups that the directory node on a host left unanswered.
 
-    A message from it shows that it is alive.  It started after the lookup was
-    sent, so nothing received it.  The lookup is repeated once only: a node
-    that is alive but never answers must not delay searches.
+    A message from the node shows that it is alive.  It started after the
+    lookup was sent, so nothing received that.  The lookup is repeated once
+    only: a node that is alive but never answers must not delay searches.
     """
     node = state.directory_nodes.get(host)
     if node is None or node.lookup_sent_at is None or node.was_lookup_repeated:
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/views.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/views.py
@@ -136,7 +136,7 @@
         return since is not None and now - since > defaults.UNRESPONSIVE_SECONDS
 
     def accepts_flows(self) -> bool:
-        """Return whether its upstream is listed, active and not closed."""
+        """Return whether the upstream is listed and takes new flows."""
         return (
             self.missing_since is None
             and self.upstream.state == 'active'
