--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/defaults.py
@@ -127,8 +127,8 @@
 #: its packet after 0.2 s, 0.6 s and 1.4 s.
 RESET_AGE_SECONDS: Final = 0.6
 
-#: How much longer than RESET_AGE_SECONDS that caller may have waited: until its
-#: last retransmission.
+#: How much longer than RESET_AGE_SECONDS that caller may have waited: until
+#: its last retransmission.
 RESET_AGE_UNCERTAINTY_SECONDS: Final = 0.8
 
 #: Maximum number of openings that are remembered.  10,000 are a
@@ -342,8 +342,8 @@
 #: upstreams this takes 0.4 ms.
 EXCLUSION_CACHE_THRESHOLD: Final = 64
 
-#: How long it is cached whether the others have MIN_SERVING_SHARE of the slots.
-#: Agents become unresponsive in the meantime; this is a tenth of
+#: How long it is cached whether the others have MIN_SERVING_SHARE of the
+#: slots.  Agents become unresponsive in the meantime; this is a tenth of
 #: UNRESPONSIVE_SECONDS.
 EXCLUSION_CACHE_SECONDS: Final = 0.035
 
