--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/directory_client.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/directory_client.py
@@ -67,9 +67,10 @@
     state: PacketState,
     views: tuple[AgentView, ...],
 ) -> FlowDirectory:
-    """Return the directory of a service, whose nodes are its active hosts.
+    """Return the directory of a service, kept on its active hosts.
 
-    Hosts without an entry in the catalog are left out.
+    Hosts without an entry in the catalog are left out.  For a small service
+    the directory is empty.
     """
     hosts = sorted(
         view.host
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/flow_search.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/flow_search.py
@@ -107,9 +107,9 @@
         self.pending_lookups.clear()
 
     def restart_lookups(self) -> None:
-        """Forget all answers of directory nodes, and query them again.
+        """Forget the lookups at directory nodes, so that all can be repeated.
 
-        They may know more by now.
+        The nodes may know more by now.
         """
         self.queried_nodes.clear()
         self.answer_digests.clear()
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/peer_bootstrap.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/peer_bootstrap.py
@@ -81,10 +81,10 @@
 def answer_peer_query(state: PacketState, event: EnvelopeArrived) -> Effects:
     """Send the known hosts and their services to a balancer started later.
 
-    Nothing is sent if it knows the same hosts.  One answer is enough: the
-    balancer follows all changes from its first catalog on.  The message is
-    limited to MAX_SERVED_HOSTS rows, unlisted agents first; in a large fleet
-    nothing else fits.
+    Nothing is sent if it lists the same hosts and no unlisted agent is known.
+    One answer is enough: the balancer follows all changes from its first
+    catalog on.  The message is limited to MAX_SERVED_HOSTS rows, unlisted
+    agents first; in a large fleet nothing else fits.
     """
     try:
         request = unpack_served_request(event.envelope.content)
