--- a/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
@@ -36,8 +36,8 @@
 from keelgap_agent.packets.flows import Flow, QueuedRequest
 from keelgap_agent.packets.outlier_ejection.abandonment import reset_queued_flow
 from keelgap_agent.packets.outlier_ejection.detection import (
-    record_opening,
-    record_request_data,
+    track_opening,
+    track_request,
 )
 from keelgap_agent.packets.outlier_ejection.refusal import find_ejection_refusal
 from keelgap_agent.packets.refusals import find_refusal
@@ -87,7 +87,7 @@
         flow.route_policy = read_opening_policy(envelope)
     state.flows[key] = flow
     state.queued[key] = request
-    record_opening(state, key, event)
+    track_opening(state, key, event)
     state.warm_up_limiter.record_flow(now)
     forwarded = state.forward_to_upstream(event.sender, envelope)
     return (*register_flow(state, key, flow, now), forwarded)
@@ -142,7 +142,7 @@
         ]
         if not ready:
             break
-        key = _choose_next(state, ready, now)
+        key = _choose_by_load(state, ready, now)
         effects.extend(_release(state, key, now))
     return tuple(effects)
 
@@ -169,7 +169,7 @@
         event = request.packets[sequence]
         datagram = event.envelope.content
         state.record_data(flow, sequence, now)
-        record_request_data(state, key, flow, datagram, now)
+        track_request(state, key, flow, datagram, now)
         effects.append(state.forward_to_upstream(event.sender, event.envelope))
         effects.extend(log_request_started(state, key, flow, datagram, now))
     return (*effects, *observe_wait(state, request, now))
@@ -180,7 +180,7 @@
 ) -> QueuedRequest:
     wait = event.envelope.wait
     now = event.now
-    asked_at = now - wait.age_ms / _MILLISECONDS
+    first_attempt_at = now - wait.age_ms / _MILLISECONDS
     left = event.envelope.left_ms / _MILLISECONDS
     return QueuedRequest(
         arrived_at=now,
@@ -188,7 +188,7 @@
         deadline=now + left,
         earliest_departure=now + wait.min_remaining_ms / _MILLISECONDS,
         latest_departure=now + wait.max_remaining_ms / _MILLISECONDS,
-        is_from_outage=asked_at
+        is_from_outage=first_attempt_at
         < state.traffic_resumed_at + OPEN_TIMEOUT_SECONDS,
         packets={},
     )
@@ -252,7 +252,7 @@
     }
 
 
-def _choose_next(state: AgentState, ready: list[bytes], now: float) -> bytes:
+def _choose_by_load(state: AgentState, ready: list[bytes], now: float) -> bytes:
     """Return the flow whose request is forwarded next."""
     if state.capacity.is_overloaded(now):
         return choose_under_overload(state, ready, now)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/balancers.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/balancers.py
@@ -20,6 +20,7 @@
     def __init__(self, now: float) -> None:
         """Start without balancers."""
         self.hosts: list[str] = []
+        #: Number of each balancer in packet marks: its index in ``hosts``.
         self.numbers: dict[str, int] = {}
         #: When each balancer last subscribed to load reports.
         self.subscribers: dict[str, float] = {}
@@ -32,14 +33,14 @@
         self.last_report_at = now
 
     def make_mark(self, host: str, hop: int, kind: int) -> int:
-        """Return the mark that identifies where a packet came from."""
+        """Return a packet mark with the balancer, hop and envelope kind."""
         number = self.numbers.get(host)
         if number is None:
-            number = self._add(host)
+            number = self._assign_number(host)
         return number << _NUMBER_SHIFT | hop << _HOP_SHIFT | kind
 
     def read_mark(self, mark: int) -> tuple[str | None, int, int]:
-        """Return balancer, hop and kind of a mark.
+        """Return the balancer, the hop and the envelope kind of a packet mark.
 
         The balancer is None if this process did not create the mark, for
         example because it started after the packet was sent.
@@ -48,7 +49,7 @@
         host = self.hosts[number] if number < len(self.hosts) else None
         return host, mark >> _HOP_SHIFT & _OCTET, mark & _OCTET
 
-    def _add(self, host: str) -> int:
+    def _assign_number(self, host: str) -> int:
         if len(self.hosts) >= _MAX_NUMBER:
             # Marks are in use for milliseconds only, so numbers can be reused.
             self.hosts = []
--- a/packages/keelgap-agent/src/keelgap_agent/packets/capacity/estimates.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/capacity/estimates.py
@@ -47,18 +47,18 @@
     def record_refusal(self, priority: int, now: float) -> None:
         """Count a new flow that is refused here and by other agents."""
         self.last_refusal_at = now
-        count = _get_count(
+        count = _get_counter(
             self.demand, priority, defaults.LOAD_WINDOW_SECONDS, now
         )
         count.add(now, defaults.REFUSED_WEIGHT)
 
     def record_admitted(self, priority: int, now: float) -> None:
         """Count a new flow that is admitted."""
-        _get_count(
+        _get_counter(
             self.demand, priority, defaults.LOAD_WINDOW_SECONDS, now
         ).add(now)
         span = defaults.HIGHER_PRIORITY_WINDOW_SECONDS
-        _get_count(self.admitted, priority, span, now).add(now)
+        _get_counter(self.admitted, priority, span, now).add(now)
 
     def compute_spare_share(self, priority: int, now: float) -> float:
         """Return the share of capacity that the usual load leaves free.
@@ -86,7 +86,7 @@
         return now - self.last_refusal_at < defaults.OVERLOAD_SECONDS
 
 
-def _get_count(
+def _get_counter(
     counts: dict[int, DecayingCounter],
     priority: int,
     span: float,
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
@@ -31,7 +31,10 @@
 
 
 def handle_registration(state: AgentState, event: EnvelopeArrived) -> Effects:
-    """Record which flows another agent owns; raise MalformedEnvelope."""
+    """Record which flows another agent owns; raise MalformedEnvelope.
+
+    The first registration after a restart of that agent is also logged.
+    """
     registration = unpack_registration(event.envelope.content)
     if event.envelope.service_tag != state.service_tag:
         return (Decided('drop_other_service'),)
@@ -51,9 +54,9 @@
 def handle_lookup(state: AgentState, event: EnvelopeArrived) -> Effects:
     """Answer which agents may own flows; raise MalformedEnvelope.
 
-    The covered agents are sent as well, unless the digest in the request shows
-    that the balancer knows them.  The balancer is notified of changes for some
-    time, since it may need them to decide whether a flow is dead.
+    The list of covered agents is sent as well, unless the digest in the request
+    shows that the balancer has it.  Changes of the list are sent for some time,
+    since the balancer may need them to decide whether a flow is dead.
     """
     request = unpack_lookup_request(event.envelope.content)
     now = event.now
@@ -69,6 +72,7 @@
 
 
 def _send_coverage(state: AgentState, host: str) -> Effects:
+    """Send a balancer the list of agents whose flows are all known here."""
     return tuple(
         state.send(host, EnvelopeKind.COVERED, content)
         for content in pack_coverage(state.directory.covered)
@@ -76,7 +80,10 @@
 
 
 def notify_watchers(state: AgentState, now: float) -> Effects:
-    """Notify balancers of a changed coverage after their lookups."""
+    """Send the list of covered agents to recent clients, if it has changed.
+
+    They are balancers that may need it to decide whether a flow is dead.
+    """
     directory = state.directory
     directory.expire_watchers(now)
     if not directory.watchers:
@@ -94,7 +101,7 @@
 
 
 def request_resyncs(state: AgentState, now: float) -> Effects:
-    """Request all flows of the agents whose registrations have a gap."""
+    """Ask agents whose registrations have a gap to register all flows again."""
     return tuple(
         state.send(host, EnvelopeKind.RESYNC, b'')
         for host in state.directory.list_lagging(now)
@@ -102,7 +109,7 @@
 
 
 def _update_coverage(state: AgentState, now: float) -> Effects:
-    """Update the set of covered agents, and log if it changed."""
+    """Update which agents have all their flows known here; log changes."""
     registrar = state.registrar
     own_host = registrar.own_host if registrar.is_complete else ''
     change = state.directory.update_coverage(own_host, now)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
@@ -15,8 +15,9 @@
 
 
 class CoverageChange(NamedTuple):
-    """Hosts of agents that became covered, or no longer are."""
+    """Changes of the set of agents whose flows are all known to a node."""
 
+    #: Hosts of the agents that were added to the set.
     added: frozenset[str]
     removed: frozenset[str]
 
@@ -44,6 +45,7 @@
 
     def __init__(self, registration: Registration, now: float) -> None:
         """Start with the first registration after a start of the agent."""
+        #: Identifies the agent process.
         self.boot = registration.boot
         self.upstream_tag = registration.upstream_tag
         self.is_complete = False
@@ -53,6 +55,7 @@
         self.former_tag: int | None = None
         self.heard_at = now
         self.resync_requested_at = float('-inf')
+        #: Number of the latest stream; a new one starts with all flows again.
         self.stream = registration.stream
         #: Sequence number of the first key that is missing.
         self.next_expected = 0
@@ -65,11 +68,14 @@
 
     @property
     def is_in_sync(self) -> bool:
-        """Return whether no registration of the stream is missing."""
+        """Return whether all flows announced in the stream have arrived."""
         return self.next_expected >= self.end
 
     def record(self, registration: Registration, now: float) -> None:
-        """Record which registrations of the stream have arrived."""
+        """Record a registration, and which flows of its stream are missing.
+
+        A later stream replaces an earlier one, which is then ignored.
+        """
         if registration.stream < self.stream:
             return
         if registration.stream > self.stream:
@@ -124,14 +130,16 @@
             defaults.MAX_REGISTERED_FLOWS,
             now,
         )
+        #: Agents that registered with this node, by host.
         self.agents: dict[str, RegisteredAgent] = {}
         #: Hosts whose flows were all known at the last update of the coverage.
         self.covered: frozenset[str] = frozenset()
+        #: Digest of the covered hosts.
         self.digest = 0
         self.coverage_updated_at = float('-inf')
         #: Balancers to notify of changes of the coverage, and until when.
         self.watchers: dict[str, float] = {}
-        #: Digest of the coverage that they were last sent.
+        #: Digest of the covered hosts when the watchers were last notified.
         self.notified_digest = 0
 
     def record(
@@ -191,7 +199,10 @@
         return CoverageChange(self.covered - before, before - self.covered)
 
     def list_lagging(self, now: float) -> list[str]:
-        """Return the hosts to request all flows of, since some were lost."""
+        """Return the agents to request all flows of, since some were lost.
+
+        An agent is returned again only after a delay without success.
+        """
         lagging = []
         for host, agent in self.agents.items():
             since = max(agent.lagging_since, agent.resync_requested_at)
@@ -204,13 +215,13 @@
         return lagging
 
     def expire_watchers(self, now: float) -> None:
-        """Remove balancers whose last lookup was too long ago."""
+        """Stop notifying balancers whose last lookup was too long ago."""
         gone = [host for host, until in self.watchers.items() if now > until]
         for host in gone:
             self.watchers.pop(host)
 
     def expire(self, now: float) -> None:
-        """Remove flows and agents not heard of for too long."""
+        """Remove flows and agents without a registration for too long."""
         self.owners.expire(now)
         gone = [
             host
--- a/packages/keelgap-agent/src/keelgap_agent/packets/notices.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/notices.py
@@ -25,7 +25,11 @@
 
 
 def handle_notice(state: AgentState, event: EnvelopeArrived) -> Effects:
-    """Handle a notice of a balancer; raise MalformedEnvelope."""
+    """Apply a notice from a balancer; raise MalformedEnvelope.
+
+    It tells which upstream runs here, its warm-up, whether its availability
+    zone is out of service, and the directory nodes of its service.
+    """
     if not event.envelope.content:
         # A balancer of an earlier release sends no notice.
         return _release_openings(state, event.now)
@@ -64,7 +68,10 @@
     notice: UpstreamNotice,
     sender: str,
 ) -> Effects:
-    """Record whether the availability zone is out of service."""
+    """Record whether the availability zone is out of service; log changes.
+
+    A notice of an earlier revision than the last one is ignored.
+    """
     if notice.revision < state.zone_revision:
         return ()
     state.zone_revision = notice.revision
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/abandonment.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/abandonment.py
@@ -42,7 +42,10 @@
 
 
 def abandon_queued_flows(state: AgentState, now: float) -> Effects:
-    """Abandon the queued flows of an ejected upstream."""
+    """Return or reset the queued flows of an ejected upstream.
+
+    Flows that were admitted since the ejection, such as trials, are kept.
+    """
     effects: list[AgentEffect] = []
     for key in tuple(state.queued):
         if state.outcomes.ejection.is_admitted(key):
@@ -57,8 +60,8 @@
 def return_opening(state: AgentState, key: bytes, now: float) -> Effects:
     """Return a flow whose opening packet got no reply to its balancer.
 
-    It is not returned to balancers of earlier releases: they might reset the
-    flow although it is open at another upstream.
+    It is kept if it may be open already, or if its balancer is of an earlier
+    release: that might reset the flow although another upstream has it.
     """
     event = state.outcomes.unanswered_openings.pop(key)
     is_supported = bool(state.balancers.report_formats.get(event.sender))
@@ -76,7 +79,11 @@
 
 
 def reset_queued_flow(state: AgentState, key: bytes, now: float) -> Effects:
-    """Reset a flow whose request is queued for an unresponsive upstream."""
+    """Reset a flow whose request is queued for an unresponsive upstream.
+
+    Nothing is done unless the upstream is ejected and unresponsive, and the
+    data show that the caller chose it.
+    """
     ejection = state.outcomes.ejection
     queued = state.queued[key]
     is_known = state.registrar.is_complete
@@ -101,9 +108,10 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Reply to a later packet of an abandoned flow.
+    """Reset or return an abandoned flow again when its caller sends a packet.
 
-    It must not reach the upstream: the request may already run elsewhere.
+    The packet must not reach the upstream: the request may already run
+    elsewhere.  A repeated opening or closing packet after a reset is dropped.
     """
     envelope = event.envelope
     datagram = envelope.content
@@ -121,7 +129,10 @@
 
 
 def drop_abandoned_packet() -> Effects:
-    """Drop a packet of the upstream that belongs to an abandoned flow."""
+    """Drop a packet that the upstream sent or bounced on an abandoned flow.
+
+    An abandoned flow was reset, or returned to its balancer, while queued.
+    """
     return (Decided('drop_given_up'),)
 
 
@@ -132,6 +143,7 @@
     *,
     is_reset: bool,
 ) -> None:
+    """Remove a queued flow, and remember that it was reset or returned."""
     state.forget(key)
     state.outcomes.abandon(key, now, is_reset=is_reset)
 
@@ -141,6 +153,7 @@
     key: bytes,
     waited: float,
 ) -> dict[str, object]:
+    """Return the log fields of a flow that waited for some seconds."""
     return {
         'flow': state.format.describe_key(key),
         'waited': round(waited, 3),
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/acknowledgments.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/acknowledgments.py
@@ -23,7 +23,11 @@
     flow: Flow,
     datagram: bytes,
 ) -> bool:
-    """Return whether the first data acknowledge this upstream's opening."""
+    """Return whether a caller's first data acknowledge this upstream.
+
+    That is so if they acknowledge the initial sequence number of its reply to
+    the opening packet.
+    """
     if flow.initial_sequence is None:
         return False
     return follows_opening(
@@ -32,5 +36,5 @@
 
 
 def follows_opening(number: int, initial_sequence: int) -> bool:
-    """Return whether a sequence number directly follows an opening packet."""
+    """Return whether a sequence number is the first after an opening packet."""
     return (number - initial_sequence) % _SEQUENCE_NUMBERS <= _MAX_DISTANCE
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/decisions.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/decisions.py
@@ -25,20 +25,23 @@
     outcome: Outcome,
     now: float,
 ) -> Effects:
-    """Add an outcome to the score, and update the ejection accordingly."""
+    """Add a request's outcome to the score; eject or return the upstream."""
     outcomes = state.outcomes
     route = key[_ROUTE_OFFSET:]
     if outcome is Outcome.ANSWERED:
         outcomes.score.record_success(route, now)
         return (
-            _record_success(state, key, now)
+            _record_success_while_ejected(state, key, now)
             if outcomes.ejection.is_ejected
             else ()
         )
     outcomes.score.record_failure(outcome, route)
     failure = Decided(f'outcome_{outcome.value}')
     if outcomes.ejection.is_ejected:
-        return (failure, *_record_failure(state, key, outcome, now))
+        return (
+            failure,
+            *_record_failure_while_ejected(state, key, outcome, now),
+        )
     if outcomes.score.compute(now) < defaults.EJECTION_SCORE:
         return (failure,)
     return (failure, *_eject(state, key, outcome, now))
@@ -50,6 +53,7 @@
     outcome: Outcome,
     now: float,
 ) -> Effects:
+    """Eject the upstream, log it, and abandon its queued flows."""
     outcomes = state.outcomes
     is_unresponsive = _proves_unresponsive(state, outcome)
     outcomes.ejection.eject(now, is_unresponsive=is_unresponsive)
@@ -64,12 +68,13 @@
     return (ejected, *abandon_queued_flows(state, now))
 
 
-def _record_failure(
+def _record_failure_while_ejected(
     state: AgentState,
     key: bytes,
     outcome: Outcome,
     now: float,
 ) -> Effects:
+    """Record a failed trial, or check the failure of any other request."""
     ejection = state.outcomes.ejection
     if key not in ejection.trials:
         return _check_responsiveness(state, outcome, now)
@@ -94,7 +99,7 @@
 
 
 def _proves_unresponsive(state: AgentState, outcome: Outcome) -> bool:
-    """Return whether queued requests would get no response at all.
+    """Return whether an outcome shows that queued requests get no response.
 
     It takes as many silent requests as would eject an upstream, and at least
     one response before: until then the usual response time is not known.
@@ -105,7 +110,10 @@
     return silence_score >= defaults.EJECTION_SCORE
 
 
-def _record_success(state: AgentState, key: bytes, now: float) -> Effects:
+def _record_success_while_ejected(
+    state: AgentState, key: bytes, now: float
+) -> Effects:
+    """Record a good trial; enough of them return the upstream to service."""
     outcomes = state.outcomes
     ejection = outcomes.ejection
     if not ejection.is_admitted(key):
@@ -126,6 +134,7 @@
     outcome: Outcome,
     now: float,
 ) -> dict[str, object]:
+    """Return the log fields of an outcome that changes the ejection."""
     outcomes = state.outcomes
     return {
         'flow': state.format.describe_key(key),
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
@@ -21,9 +21,9 @@
     'record_packet_outcome',
     'record_bounce_outcome',
     'detect_timeouts',
-    'record_opening',
+    'track_opening',
     'record_opening_reply',
-    'record_request_data',
+    'track_request',
 )
 
 Effects = tuple[AgentEffect, ...]
@@ -39,40 +39,41 @@
 _MISDIRECTED: Final = 421
 
 
-def record_opening(
+def track_opening(
     state: AgentState,
     key: bytes,
     event: EnvelopeArrived,
 ) -> None:
-    """Record that the opening packet of a flow is sent to the upstream."""
+    """Start to wait for the upstream's reply to a flow's opening packet."""
     if state.features.ejection:
         state.outcomes.unanswered_openings[key] = event
 
 
-def record_request_data(
+def track_request(
     state: AgentState,
     key: bytes,
     flow: Flow,
     datagram: bytes,
     now: float,
 ) -> None:
-    """Record that data of a request is sent to the upstream.
+    """Track a request of which data are sent to the upstream.
 
-    Only flows that the upstream is known to hold are tracked.  A flow that
-    this process has not seen open may already be over, and its caller may
-    have chosen another upstream.
+    Only flows of which the upstream has sent a packet are tracked: a flow that
+    this process has not seen open may already be over.  If the upstream has
+    sent no data yet, the caller's data must also acknowledge this upstream,
+    since the caller may have chosen another one.
     """
     if not state.features.ejection or flow.busy_since is None:
         return
     if flow.in_flight_request is not None:
         state.outcomes.record_packet(flow.in_flight_request, now)
         return
-    is_first = flow.initial_sequence is not None
+    is_first_request = flow.initial_sequence is not None
     if not flow.confirmed or (
-        is_first and not acknowledges_upstream(state, flow, datagram)
+        is_first_request and not acknowledges_upstream(state, flow, datagram)
     ):
         return
-    flow.in_flight_request = state.outcomes.track(key, now, state.busy)
+    flow.in_flight_request = state.outcomes.start_tracking(key, now, state.busy)
 
 
 def record_opening_reply(
@@ -81,7 +82,7 @@
     flow: Flow,
     datagram: bytes,
 ) -> None:
-    """Record that the upstream replied to the opening packet of a flow."""
+    """Record the upstream's reply to an opening packet, if this is one."""
     if state.format.flags(datagram) & _SYN:
         flow.initial_sequence = state.format.sequence(datagram)
         state.outcomes.unanswered_openings.pop(key, None)
@@ -96,7 +97,7 @@
 ) -> Effects:
     """Record the outcome that a packet from the upstream shows.
 
-    Must be called before ``AgentState.end_request``, which stops tracking the
+    To be called before ``AgentState.end_request``, which stops tracking the
     request.
     """
     if not state.features.ejection:
@@ -106,7 +107,7 @@
     if state.format.data_length(datagram):
         return _record_data_outcome(state, key, flow, datagram, now)
     if flow.in_flight_request in outcomes.timed_out:
-        # It was already counted as silent.
+        # The request was already counted as silent.
         return ()
     flags = state.format.flags(datagram)
     if flags & _RST and (flow.in_flight_request is not None or was_unanswered):
@@ -140,6 +141,11 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
+    """Record the outcome that data from the upstream show.
+
+    Data of no tracked request are ignored, unless they were overtaken by the
+    packet that closed the flow.
+    """
     is_overtaken_by_close = flow.ended and flow.initial_sequence is not None
     flow.initial_sequence = None
     if flow.in_flight_request is None and not is_overtaken_by_close:
@@ -149,6 +155,7 @@
     in_flight = state.busy + (flow.in_flight_request is None)
     outcome = _classify_response(state, datagram, in_flight)
     if outcome is None:
+        # If the request was a trial, it showed nothing.
         state.outcomes.ejection.forget(key)
         return ()
     return record_outcome(state, key, outcome, now)
@@ -182,7 +189,8 @@
 ) -> Effects:
     """Record the outcome that a packet bounced by the upstream shows.
 
-    A bounce on a flow that was open only shows that the upstream restarted.
+    The upstream bounces a packet, that is, returns it, if it does not accept
+    it.  A bounce on a flow that was open only shows that the upstream restarted.
     A bounce of the caller's first data shows that the upstream lost the flow
     just after it accepted it.
     """
@@ -195,7 +203,10 @@
 
 
 def detect_timeouts(state: AgentState, now: float) -> Effects:
-    """Record a failure for each opening and request that timed out."""
+    """Record failures for overdue replies to openings and overdue responses.
+
+    Also adapt the timeout of trials, and update which trials are wanted.
+    """
     if not state.features.ejection:
         return ()
     response_timeout = _compute_response_timeout(state)
@@ -211,15 +222,18 @@
 
 
 def _detect_unanswered_openings(state: AgentState, now: float) -> Effects:
+    """Return flows whose opening packet timed out, and count one failure."""
     outcomes = state.outcomes
     limit = now - defaults.OPENING_TIMEOUT_SECONDS
     is_starting = now - outcomes.started_at < defaults.STARTUP_GRACE_SECONDS
     if is_starting or outcomes.running_since > limit:
+        # After a pause of this process, replies may not have been read yet.
         return ()
     late = [
         key
         for key, event in outcomes.unanswered_openings.items()
         if event.now <= limit
+        # An opening that most others have returned stays here.
         and event.envelope.hop < defaults.FORCED_ACCEPT_HOP
     ]
     effects: list[AgentEffect] = []
@@ -230,19 +244,23 @@
         if not effects:
             # A single short pause makes all of them late, so count it once.
             effects.extend(record_outcome(state, key, Outcome.UNOPENED, now))
+        # Ejecting the upstream may have returned it already.
         if key in outcomes.unanswered_openings:
             effects.extend(return_opening(state, key, now))
     return tuple(effects)
 
 
 def _detect_silent_requests(state: AgentState, now: float) -> Effects:
+    """Record a failure for each request whose response is overdue."""
     outcomes = state.outcomes
     limit = now - _compute_response_timeout(state)
     if outcomes.running_since > limit:
+        # After a pause of this process, replies may not have been read yet.
         return ()
     effects: list[AgentEffect] = []
     for request in tuple(outcomes.in_flight):
         if request.last_packet_at > limit:
+            # Requests are ordered by their latest packets.
             break
         if _counts_as_silent(state, request):
             outcomes.mark_timed_out(request)
@@ -268,7 +286,7 @@
 
 
 def _counts_as_silent(state: AgentState, request: InFlightRequest) -> bool:
-    """Return whether a request that is late counts as silent.
+    """Return whether an overdue request counts as lost.
 
     It does if the upstream has sent no response at all since the request, or
     so many that later requests have overtaken it.  While the upstream is
@@ -276,6 +294,6 @@
     """
     if state.outcomes.ejection.is_ejected:
         return True
-    responses = state.outcomes.responses - request.responses
+    responses = state.outcomes.responses - request.responses_before
     overtaking = 2 * request.requests_ahead + defaults.OVERTAKING_RESPONSES
     return not responses or responses >= overtaking
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/refusal.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/refusal.py
@@ -13,10 +13,11 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> str | None:
-    """Return why a new flow is refused; None if the upstream gets it.
+    """Return why a flow is refused due to an ejection; None to admit it.
 
     An ejected upstream gets trials, and flows that several other agents have
-    returned: if most upstreams fail, none of them is left out.
+    returned: if most upstreams fail, none of them is left out.  These flows are
+    recorded with the ejection.
     """
     outcomes = state.outcomes
     ejection = outcomes.ejection
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/reports.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/reports.py
@@ -10,7 +10,7 @@
 
 
 def make_report_to(state: AgentState, host: str) -> SendToPeer:
-    """Return a report in the format that a balancer understands.
+    """Return the effect that sends a load report in a balancer's format.
 
     A balancer of an earlier release would treat an ejected upstream as closed
     and never send it a trial.  Its reports leave the ejection out, and each
@@ -25,7 +25,7 @@
 
 
 def prepend_reports(state: AgentState, effects: Effects) -> Effects:
-    """Return the effects, preceded by reports if the ejection has changed.
+    """Return the effects, after load reports if the ejection has changed.
 
     A balancer to which a flow is returned then already knows the reason, and
     offers no further flows.
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/score.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/score.py
@@ -43,7 +43,7 @@
 
 
 class _RouteScore:
-    """The sum of the error responses of one route."""
+    """The sum of the weights of one route's error responses."""
 
     __slots__ = ('last_good_at', 'consecutive_good', 'total')
 
@@ -67,12 +67,12 @@
     __slots__ = ('_by_route', '_lost_total')
 
     def __init__(self, lost: float = 0) -> None:
-        """Start without errors, with a given sum of lost requests."""
+        """Start without errors; ``lost`` is the score for lost requests."""
         self._lost_total = lost
         self._by_route: dict[bytes, _RouteScore] = {}
 
     def record_success(self, route: bytes, now: float) -> None:
-        """Subtract the weight of a good response."""
+        """Lower the score for a good response, in total and for its route."""
         self._lost_total = max(self._lost_total - defaults.SUCCESS_WEIGHT, 0)
         score = self._get_route_score(route)
         score.total = max(score.total - defaults.SUCCESS_WEIGHT, 0)
@@ -96,14 +96,20 @@
         self._lost_total = max(self._lost_total - defaults.LOST_WEIGHT, 0)
 
     def compute(self, now: float) -> float:
-        """Return the sum, each route's part capped if another one is served."""
+        """Return the score: lost requests, plus the error responses by route.
+
+        The part of one route is limited while requests of another one succeed.
+        """
         return self._lost_total + sum(
-            self._cap(route, score.total, now)
+            self._limit_route_total(route, score.total, now)
             for route, score in self._by_route.items()
             if score.total
         )
 
-    def _cap(self, route: bytes, total: float, now: float) -> float:
+    def _limit_route_total(
+        self, route: bytes, total: float, now: float
+    ) -> float:
+        """Return a route's total, limited while another route is served."""
         if total <= defaults.MAX_SINGLE_ROUTE_SCORE:
             return total
         is_other_served = any(
@@ -114,6 +120,7 @@
         return defaults.MAX_SINGLE_ROUTE_SCORE if is_other_served else total
 
     def _get_route_score(self, route: bytes) -> _RouteScore:
+        """Return the score of a route; too many routes share the last one."""
         score = self._by_route.get(route)
         if score is None:
             if len(self._by_route) >= defaults.MAX_ROUTES:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/state.py
@@ -13,7 +13,7 @@
 class InFlightRequest:
     """A request that the upstream has received and not yet answered."""
 
-    __slots__ = ('responses', 'requests_ahead', 'key', 'last_packet_at')
+    __slots__ = ('responses_before', 'requests_ahead', 'key', 'last_packet_at')
 
     def __init__(
         self, key: bytes, now: float, responses: int, busy: int
@@ -23,7 +23,7 @@
         #: When the latest packet of the request was sent to the upstream.
         self.last_packet_at = now
         #: Responses of the upstream before this request arrived.
-        self.responses = responses
+        self.responses_before = responses
         #: Requests in flight when this one arrived.
         self.requests_ahead = busy
 
@@ -38,13 +38,13 @@
 
 
 class OutcomeTracker:
-    """Outcomes of the upstream's requests, as seen in their packets."""
+    """Requests in flight at the upstream, and its score and ejection."""
 
     def __init__(self, now: float) -> None:
         """Start without any request."""
         self.score = OutlierScore()
         self.ejection = Ejection()
-        #: Whether a change must be reported to all balancers at once.
+        #: Whether a change of the ejection must be reported at once.
         self.has_unreported_change = False
         #: Balancers with outdated information, which get a report before
         #: anything else that is sent to them.
@@ -65,7 +65,9 @@
         self.running_since = now
         self.ticked_at = now
 
-    def track(self, key: bytes, now: float, busy: int) -> InFlightRequest:
+    def start_tracking(
+        self, key: bytes, now: float, busy: int
+    ) -> InFlightRequest:
         """Start to track a request that is sent to the upstream."""
         request = InFlightRequest(key, now, self.responses, busy)
         self.in_flight[request] = None
@@ -90,7 +92,7 @@
         self.timed_out.add(request)
 
     def record_response(self, request: InFlightRequest | None) -> None:
-        """Count a response.
+        """Count a response, and correct the score if it was given up.
 
         A response to a request that was counted as silent shows that the
         upstream is slow rather than unresponsive.
@@ -110,23 +112,25 @@
         if not self.ejection.is_ejected or self.ejection.is_admitted(key):
             return False
         return any(
-            request.responses == self.responses for request in self.timed_out
+            request.responses_before == self.responses
+            for request in self.timed_out
         )
 
     def count_ignored(self) -> int:
-        """Return the number of requests that leave their capacity to trials.
+        """Return how many requests in flight do not count against capacity.
 
-        While the upstream is ejected these are the silent ones.
+        While the upstream is ejected, these are the requests that timed out,
+        so that trials can use their capacity.  Otherwise there are none.
         """
         return len(self.timed_out) if self.ejection.is_ejected else 0
 
     def forget(self, key: bytes) -> None:
-        """Discard everything that is stored about a flow."""
+        """Discard the opening packet and the trial of a flow, if any."""
         self.unanswered_openings.pop(key, None)
         self.ejection.forget(key)
 
     def abandon(self, key: bytes, now: float, *, is_reset: bool) -> None:
-        """Remember that a flow was abandoned."""
+        """Remember that a queued flow was reset or returned to its balancer."""
         self.forget(key)
         if len(self.abandoned_flows) >= defaults.MAX_ABANDONED:
             self.abandoned_flows.pop(next(iter(self.abandoned_flows)))
--- a/packages/keelgap-agent/src/keelgap_agent/packets/pending_openings.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/pending_openings.py
@@ -29,7 +29,10 @@
 
 
 def awaits_first_notice(state: AgentState) -> bool:
-    """Return whether no balancer has sent a notice yet."""
+    """Return whether no balancer has sent a notice yet.
+
+    An agent that takes part in no directory needs none.
+    """
     return bool(state.registrar.own_host) and not state.registrar.has_notice
 
 
@@ -38,7 +41,10 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Queue an opening packet and request a notice from its balancer."""
+    """Queue an opening packet and request a notice from its balancer.
+
+    If the queue is full, the packet is dropped.
+    """
     pending_openings = state.registrar.pending_openings
     is_copy = key in pending_openings
     if len(pending_openings) >= defaults.MAX_PENDING_OPENINGS and not is_copy:
@@ -52,8 +58,8 @@
 def retry_notice_request(state: AgentState, now: float) -> Effects:
     """Request the notice again and drop openings of callers that gave up.
 
-    The request or its reply may have been lost, or the balancer may be down, so
-    the sender of the latest opening packet is asked.
+    The first request or its reply may have been lost, or its balancer may be
+    down, so the sender of the latest opening packet is asked.
     """
     pending_openings = state.registrar.pending_openings
     expired = [
@@ -82,6 +88,10 @@
 
 
 def _request_notice(state: AgentState, balancer: str, now: float) -> Effects:
+    """Request a notice of a balancer, unless that was done a moment ago.
+
+    A notice names the directory nodes with which to register flows.
+    """
     registrar = state.registrar
     if now - registrar.notice_requested_at < defaults.NOTICE_RETRY_SECONDS:
         return ()
@@ -90,7 +100,7 @@
 
 
 def _shift_to_now(event: EnvelopeArrived, now: float) -> EnvelopeArrived:
-    """Return an opening as if it arrived now, with its times adjusted."""
+    """Return an opening packet as if it arrived now, with times adjusted."""
     envelope = event.envelope
     waited = round((now - event.now) * _MILLISECONDS)
     wait = CallerWait(
--- a/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
@@ -45,7 +45,7 @@
     detect_timeouts,
     record_opening_reply,
     record_packet_outcome,
-    record_request_data,
+    track_request,
 )
 from keelgap_agent.packets.outlier_ejection.reports import (
     make_report_to,
@@ -226,7 +226,7 @@
     if state.format.data_length(datagram):
         sequence = state.format.sequence(datagram)
         if state.record_data(flow, sequence, now):
-            record_request_data(state, key, flow, datagram, now)
+            track_request(state, key, flow, datagram, now)
             return log_request_started(state, key, flow, datagram, now)
     return ()
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/registrar.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/registrar.py
@@ -19,6 +19,7 @@
 
     def __init__(self, number: int, now: float) -> None:
         """Start before the first registration."""
+        #: Higher than the numbers of all earlier streams.
         self.number = number
         self.started_at = now
         self.sent_at = now
@@ -27,7 +28,10 @@
 
 
 class Registrar:
-    """What this agent has registered, and what it knows of the directory."""
+    """State of this agent's registrations with its service's flow directory.
+
+    It includes what balancers have told about the directory and upstream.
+    """
 
     def __init__(self, own_host: str, now: float) -> None:
         """Start without a directory."""
@@ -36,6 +40,7 @@
         self.started_at = now
         #: Identifies this start of the process, until the ids wrap around.
         self.boot = int(now * _MILLISECONDS) % _BOOT_IDS
+        #: The directory nodes of each shard, from the latest notice.
         self.directory = NO_DIRECTORY
         #: Whether a balancer has sent this process a notice.
         self.has_notice = False
@@ -46,9 +51,11 @@
         self.notice_requested_at = float('-inf')
         #: The stream to each directory node, by host.
         self.streams: dict[str, RegistrationStream] = {}
+        #: Number of the latest stream to any node.
         self.stream_number = 0
         #: Identifies the start of the upstream; 0 until a balancer tells it.
         self.upstream_tag = 0
+        #: Catalog revision of the notice from which the tag was taken.
         self.upstream_revision = 0
         #: Whether no upstream ran here when this process started.
         self.predates_upstream = False
--- a/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
@@ -38,9 +38,9 @@
 
 
 def record_upstream(state: AgentState, notice: UpstreamNotice) -> str:
-    """Record the upstream, and whether all its flows passed through here.
+    """Record the upstream's id, and whether this process knows all its flows.
 
-    They did if the upstream started after this process: nothing ran at its
+    It does if the upstream started after this process: nothing ran at its
     address when this process started, and the upstream has started recently.
     The recent start is not sufficient, since another agent process may have run
     here at that moment.  Neither is the id of a former upstream, which a
@@ -65,10 +65,10 @@
 
 
 def announce_complete(state: AgentState, reason: str, now: float) -> Effects:
-    """Tell the directory nodes at once that they may cover this agent.
+    """Tell the directory nodes that this agent has registered all its flows.
 
-    After an outage of the whole fleet, balancers wait for it before they reset
-    dead flows.
+    It is sent at once: after an outage of the whole fleet, balancers wait for
+    it before they reset dead flows.
     """
     registrar = state.registrar
     fields = {
@@ -88,7 +88,7 @@
     directory: FlowDirectory,
     now: float,
 ) -> Effects:
-    """Register with the nodes of a directory, and no longer with others."""
+    """Register all flows with a directory's new nodes, not with former ones."""
     registrar = state.registrar
     if directory.shards != registrar.directory.shards:
         # Flows may belong to other shards now.
@@ -127,7 +127,7 @@
     flow: Flow,
     now: float,
 ) -> Effects:
-    """Register a flow that the upstream may accept or already has."""
+    """Register a flow with the directory nodes of its shard."""
     flow.is_registered = True
     registrar = state.registrar
     return tuple(
@@ -138,7 +138,11 @@
 
 
 def refresh_registrations(state: AgentState, now: float) -> Effects:
-    """Send due registrations, even empty ones, and renew old streams."""
+    """Send due registrations, even empty ones, and all flows from time to time.
+
+    Once all flows that another agent process forwarded must have ended, also
+    announce that this agent knows all flows of its upstream.
+    """
     registrar = state.registrar
     effects: list[AgentEffect] = []
     is_old = now - registrar.started_at >= defaults.MAX_FLOW_AGE_SECONDS
@@ -170,6 +174,7 @@
 
 
 def _begin_stream(state: AgentState, node: str, now: float) -> Effects:
+    """Register all flows of a directory node's shards with it, as a new stream."""
     registrar = state.registrar
     registrar.stream_number += 1
     stream = RegistrationStream(registrar.stream_number, now)
@@ -184,7 +189,7 @@
     effects = []
     sequence = 0
     for group in tuple(split_keys(keys)) or ((),):
-        effects.append(_send(state, node, stream, sequence, group))
+        effects.append(_send_registration(state, node, stream, sequence, group))
         sequence += len(group)
     return tuple(effects)
 
@@ -195,14 +200,15 @@
     keys: tuple[bytes, ...],
     now: float,
 ) -> SendToPeer:
+    """Register more flows, or none, with a directory node."""
     stream = state.registrar.streams[node]
     stream.sent_at = now
     sequence = stream.end
     stream.end += len(keys)
-    return _send(state, node, stream, sequence, keys)
+    return _send_registration(state, node, stream, sequence, keys)
 
 
-def _send(
+def _send_registration(
     state: AgentState,
     node: str,
     stream: RegistrationStream,
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
@@ -70,7 +70,7 @@
     event: EnvelopeArrived,
 ) -> Effects:
     """Queue a request, unless it ranks first and there is capacity."""
-    queued = _make_queued(state.flows[key], event)
+    queued = _make_queued_request(state.flows[key], event)
     state.queued[key] = queued
     effects = (
         *_announce_owned(state, key, event),
@@ -98,7 +98,7 @@
         dequeued = (
             release_queued_request(state, key, event.now)
             if has_data
-            else _drop_abandoned(state, key, event.now)
+            else _drop_departed(state, key, event.now)
         )
         flow.ended = True
         state.cancel_request(flow)
@@ -192,7 +192,7 @@
     return flow.is_new_sequence(state.format.sequence(datagram))
 
 
-def _make_queued(flow: Flow, event: EnvelopeArrived) -> QueuedRequest:
+def _make_queued_request(flow: Flow, event: EnvelopeArrived) -> QueuedRequest:
     now = event.now
     route_policy = flow.route_policy
     assert route_policy is not None
@@ -234,7 +234,7 @@
     return (state.send(event.sender, EnvelopeKind.OWNED, key),)
 
 
-def _drop_abandoned(state: AgentState, key: bytes, now: float) -> Effects:
+def _drop_departed(state: AgentState, key: bytes, now: float) -> Effects:
     """Drop a queued request whose caller has left."""
     fields = _describe(state, key, now)
     state.queued.pop(key)
