--- a/packages/keelgap-agent/src/keelgap_agent/packets/__main__.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/__main__.py
@@ -20,6 +20,7 @@
     settings: AgentPacketSettings,
     stack: ExitStack,
 ) -> PacketSockets:
+    """Open the sockets for the upstream and for balancers and agents."""
     listen = settings.listen
     peers = Address(settings.instance.address, listen.peer_port)
     return open_sockets('listen.upstream', listen.upstream, peers, stack)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
@@ -1,7 +1,8 @@
 """Queue of requests that wait until the upstream has capacity for them.
 
-Early refusal, the feature ``admission``, is in ``capacity``; subsequent
-requests of open flows are in ``scheduling``.
+This module is the queue.  The feature ``admission`` of the settings, which
+refuses requests early, is in ``capacity``; subsequent requests of open flows
+are in ``scheduling``.
 
 An upstream serves its own queue in order of arrival.  After an outage all
 requests would therefore be late, both those of the callers that return first
@@ -68,7 +69,10 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Forward the opening packet of a flow, or return it to its balancer."""
+    """Forward an opening packet and queue its request, or refuse the flow.
+
+    A refused opening packet is returned to its balancer.
+    """
     now = event.now
     state.balancers.reports_due.add(event.sender)
     state.record_opening(now)
@@ -98,7 +102,10 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Handle a packet of a flow whose first request is still queued."""
+    """Handle a caller's packet of a flow whose first request is queued.
+
+    Data are added to the queue; an opening or closing packet is forwarded.
+    """
     envelope = event.envelope
     datagram = envelope.content
     if envelope.kind in OPENING_KINDS:
@@ -111,11 +118,15 @@
         state.queued.pop(key)
         state.flows[key].ended = True
         state.outcomes.forget(key)
-        left = Decided(
+        departed = Decided(
             'left_waiting',
             _describe(state, key, request, event.now),
         )
-        return (*owned, state.forward_to_upstream(event.sender, envelope), left)
+        return (
+            *owned,
+            state.forward_to_upstream(event.sender, envelope),
+            departed,
+        )
     if not state.format.data_length(datagram):
         return owned
     is_first = not request.packets
@@ -157,11 +168,12 @@
 
 
 def release_request(state: AgentState, key: bytes, now: float) -> Effects:
-    """Forward the packets received so far of a queued request."""
+    """Forward one queued request now, with the packets received so far."""
     return _release(state, key, now)
 
 
 def _release(state: AgentState, key: bytes, now: float) -> Effects:
+    """Remove a request from the queue, and forward its packets in order."""
     request = state.queued.pop(key)
     flow = state.flows[key]
     effects: list[AgentEffect] = []
@@ -178,14 +190,15 @@
 def _make_queued_request(
     state: AgentState, event: EnvelopeArrived
 ) -> QueuedRequest:
+    """Return the queue entry of a new flow, from its opening packet."""
     wait = event.envelope.wait
     now = event.now
     first_attempt_at = now - wait.age_ms / _MILLISECONDS
-    left = event.envelope.left_ms / _MILLISECONDS
+    remaining_seconds = event.envelope.left_ms / _MILLISECONDS
     return QueuedRequest(
         arrived_at=now,
         priority=event.envelope.priority,
-        deadline=now + left,
+        deadline=now + remaining_seconds,
         earliest_departure=now + wait.min_remaining_ms / _MILLISECONDS,
         latest_departure=now + wait.max_remaining_ms / _MILLISECONDS,
         is_from_outage=first_attempt_at
@@ -195,7 +208,7 @@
 
 
 def _drop_expired(state: AgentState, now: float) -> Effects:
-    """Drop the queued requests whose callers must have left by now."""
+    """Drop queued requests whose callers must have left; forget new flows."""
     expired = [
         key
         for key, request in state.queued.items()
@@ -253,7 +266,10 @@
 
 
 def _choose_by_load(state: AgentState, ready: list[bytes], now: float) -> bytes:
-    """Return the flow whose request is forwarded next."""
+    """Return the flow whose request is forwarded next.
+
+    Under overload, the order of early refusal applies.
+    """
     if state.capacity.is_overloaded(now):
         return choose_under_overload(state, ready, now)
     return choose_next(state, ready, now)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/capacity/deadlines.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/capacity/deadlines.py
@@ -30,7 +30,7 @@
 class _Queue(NamedTuple):
     """Numbers of queued requests that compete with a new one."""
 
-    #: Requests that can be in time and go before it.
+    #: Requests of the same or a higher priority that can be in time.
     ahead: int
     #: Requests of the same or a higher priority that are late already, but
     #: can still be answered before their callers leave.
@@ -72,6 +72,10 @@
     now: float,
     is_first_try: bool,
 ) -> bool:
+    """Return whether a new request would get its response by its deadline.
+
+    First tries, which are not retries after a refusal, need a safety margin.
+    """
     service_time = state.capacity.response_interval * state.slots
     margin = defaults.MARGIN_SERVICE_TIMES * service_time if is_first_try else 0
     expected_at = (
@@ -83,7 +87,7 @@
 def estimate_start_ms(
     state: 'AgentState', queued: 'QueuedRequest', now: float
 ) -> int:
-    """Return the milliseconds until a request like this one would start."""
+    """Return the milliseconds until the upstream would start a new request."""
     queue = _count_queued(state, queued, now)
     wait = _estimate_start(state, queued, queue, now)
     return max(min(round(wait * _MILLISECONDS), _MAX_WAIT_MS), 1)
@@ -92,6 +96,7 @@
 def _count_queued(
     state: 'AgentState', queued: 'QueuedRequest', now: float
 ) -> _Queue:
+    """Count the queued requests that compete with a new one for capacity."""
     service_time = state.capacity.response_interval * state.slots
     ahead = 0
     late = 0
@@ -130,10 +135,10 @@
     queued: 'QueuedRequest',
     now: float,
 ) -> float:
-    """Return how many late requests may be queued for a caller to be served.
+    """Return the number of late queued requests at which another is refused.
 
-    This is an estimate of those that the upstream can serve before the caller
-    leaves, multiplied by a factor in favour of admission.
+    It is an estimate of the late requests that the upstream can serve before
+    the caller of the new one leaves, times a factor in favour of admission.
     """
     capacity = state.capacity
     service_time = capacity.response_interval * state.slots
--- a/packages/keelgap-agent/src/keelgap_agent/packets/capacity/estimates.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/capacity/estimates.py
@@ -13,6 +13,7 @@
         """Start without any response."""
         #: Mean seconds from one response to the next while all slots are busy.
         self.response_interval: float = 0
+        #: Number of responses in that mean.
         self.responses = 0
         #: Time of the latest response if all slots were busy after it.
         self.saturated_since: float | None = None
@@ -32,7 +33,7 @@
         return self.responses >= defaults.MIN_RESPONSES
 
     def record_response(self, now: float, *, is_full: bool) -> None:
-        """Update the mean interval with a response.
+        """Update the mean interval between responses while all slots are busy.
 
         ``is_full`` tells whether all slots are still busy after it.
         """
@@ -45,7 +46,7 @@
         self.saturated_since = now if is_full else None
 
     def record_refusal(self, priority: int, now: float) -> None:
-        """Count a new flow that is refused here and by other agents."""
+        """Count a refused new flow, in part: other agents count it as well."""
         self.last_refusal_at = now
         count = _get_counter(
             self.demand, priority, defaults.LOAD_WINDOW_SECONDS, now
@@ -53,7 +54,7 @@
         count.add(now, defaults.REFUSED_WEIGHT)
 
     def record_admitted(self, priority: int, now: float) -> None:
-        """Count a new flow that is admitted."""
+        """Count an admitted new flow, in the usual load and the recent one."""
         _get_counter(
             self.demand, priority, defaults.LOAD_WINDOW_SECONDS, now
         ).add(now)
@@ -61,9 +62,9 @@
         _get_counter(self.admitted, priority, span, now).add(now)
 
     def compute_spare_share(self, priority: int, now: float) -> float:
-        """Return the share of capacity that the usual load leaves free.
+        """Return the share of capacity (0 to 1) that the usual load leaves.
 
-        The load is that of flows of this or a higher priority.
+        The load is that of new flows of this or a higher priority.
         """
         demand = sum(
             count.compute_rate(now, defaults.MIN_LOAD_SECONDS)
@@ -73,7 +74,7 @@
         return max(1 - demand * self.response_interval, 0)
 
     def compute_higher_priority_load(self, priority: int, now: float) -> float:
-        """Return the share of capacity that higher priorities use."""
+        """Return the share of capacity that flows of higher priority use."""
         higher = sum(
             count.compute_rate(now, defaults.HIGHER_PRIORITY_WINDOW_SECONDS)
             for other, count in self.admitted.items()
@@ -82,7 +83,7 @@
         return higher * self.response_interval
 
     def is_overloaded(self, now: float) -> bool:
-        """Return whether flows were refused recently."""
+        """Return whether a flow was refused recently for lack of time."""
         return now - self.last_refusal_at < defaults.OVERLOAD_SECONDS
 
 
@@ -92,6 +93,7 @@
     span: float,
     now: float,
 ) -> DecayingCounter:
+    """Return a priority's counter; a new one covers ``span`` seconds."""
     count = counts.get(priority)
     if count is None:
         count = DecayingCounter(span, now)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/capacity/order.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/capacity/order.py
@@ -20,7 +20,7 @@
     ready: Iterable[bytes],
     now: float,
 ) -> bytes:
-    """Return the flow whose request is sent to the upstream next.
+    """Return the flow whose request is served next while others are refused.
 
     A request that was admitted as in time is not overtaken by later ones of
     the same priority.  Some late requests whose callers are about to leave go
@@ -45,6 +45,11 @@
 
 
 def _rank(queued: 'QueuedRequest', now: float, response_time: float) -> _Rank:
+    """Return the rank of a queued request; the highest is served first.
+
+    Unlike in ``QueuedRequest.rank``, requests in time and of equal priority go
+    by the earliest deadline.
+    """
     rank_class, priority, due_at = queued.rank(now, response_time)
     return (
         (rank_class, priority, -due_at)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/conf.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/conf.py
@@ -32,8 +32,9 @@
 class UpstreamSettings(NamedTuple):
     """Section ``upstream``: the upstream of this agent."""
 
+    #: Name of the service that the upstream belongs to.
     service: str
-    #: UDP address on which it receives packets.
+    #: UDP address on which the upstream receives packets.
     address: str
     #: Whether the whole fleet starts for the first time, so that no upstream
     #: has an open flow yet.
@@ -50,6 +51,7 @@
     """
 
     excess: float = 1
+    #: New flows in any second beyond the multiple of the rate.
     slack: float = 0
 
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory.py
@@ -54,9 +54,10 @@
 def handle_lookup(state: AgentState, event: EnvelopeArrived) -> Effects:
     """Answer which agents may own flows; raise MalformedEnvelope.
 
-    The list of covered agents is sent as well, unless the digest in the request
-    shows that the balancer has it.  Changes of the list are sent for some time,
-    since the balancer may need them to decide whether a flow is dead.
+    The list of covered agents is sent as well, unless the digest in the
+    request shows that the balancer has it.  Changes of the list are sent for
+    some time, since the balancer may need them to decide whether a flow is
+    dead.
     """
     request = unpack_lookup_request(event.envelope.content)
     now = event.now
@@ -101,7 +102,7 @@
 
 
 def request_resyncs(state: AgentState, now: float) -> Effects:
-    """Ask agents whose registrations have a gap to register all flows again."""
+    """Ask agents to register all flows again if some were not received."""
     return tuple(
         state.send(host, EnvelopeKind.RESYNC, b'')
         for host in state.directory.list_lagging(now)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/directory_state.py
@@ -100,7 +100,7 @@
         return now - self.heard_at <= defaults.COVERAGE_TIMEOUT_SECONDS
 
     def is_covered(self, now: float) -> bool:
-        """Return whether all flows of its upstream are known here."""
+        """Return whether all flows of the agent's upstream are known here."""
         is_trusted = self.is_complete and not self._may_miss_flows(now)
         return self.is_in_sync and is_trusted and self.is_recent(now)
 
@@ -165,7 +165,7 @@
         return agent if is_new else None
 
     def list_owners(self, key: bytes, now: float) -> tuple[str, ...]:
-        """Return the hosts that registered a flow and were heard from recently.
+        """Return the hosts that registered a flow and were heard from lately.
 
         Hosts in the last computed coverage are included, too: leaving them out
         would deny the flow on their behalf.
@@ -178,7 +178,7 @@
         )
 
     def update_coverage(self, own_host: str, now: float) -> CoverageChange:
-        """Update the set of covered hosts; return the change.
+        """Update which agents have all their flows known; return the change.
 
         ``own_host`` is the host of this agent if it knows all flows of its
         upstream, else empty.
--- a/packages/keelgap-agent/src/keelgap_agent/packets/effects.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/effects.py
@@ -21,7 +21,7 @@
 
 
 class SendToCaller(NamedTuple):
-    """Forward a packet of the upstream, unchanged, to its caller."""
+    """Send a packet of the upstream, or a reset, to its caller."""
 
     datagram: bytes
 
@@ -34,14 +34,14 @@
 
 
 class Decided(NamedTuple):
-    """Count a decision by name, and log it if it has fields."""
+    """Count a decision of the reducer by name; log it if it has fields."""
 
     name: str
     fields: dict[str, Any] | None = None
 
 
 class Observed(NamedTuple):
-    """Record a duration in the histogram of a name."""
+    """Record a duration in the histogram with this name."""
 
     name: str
     seconds: float
--- a/packages/keelgap-agent/src/keelgap_agent/packets/events.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/events.py
@@ -26,7 +26,7 @@
 
 
 class UpstreamPacket(NamedTuple):
-    """The upstream sent a packet, or bounced one."""
+    """The upstream sent a packet, or returned one that it did not accept."""
 
     now: float
     datagram: bytes
--- a/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
@@ -53,7 +53,7 @@
         self.ended = False
         #: Since when the upstream works on a request of the flow.
         self.busy_since: float | None = None
-        #: Requests in progress at the upstream when that one arrived.
+        #: Requests in progress at the upstream when that request arrived.
         self.busy_on_arrival = 0
         #: Unanswered requests, oldest first; for logs only.
         self.requests: list[LoggedRequest] = []
@@ -70,14 +70,14 @@
         self.in_flight_request: InFlightRequest | None = None
 
     def is_new_sequence(self, sequence: int) -> bool:
-        """Return whether a sequence number is later than all seen before."""
+        """Return whether the caller's data are later than all before."""
         latest = self.caller_sequence
         if latest is None:
             return True
         return 0 < (sequence - latest) % _SEQUENCE_NUMBERS < _HALF
 
     def sort_sequences(self, sequences: Iterable[int]) -> list[int]:
-        """Return sequence numbers in the order in which data was written."""
+        """Return sequence numbers in order, also across a wrap-around."""
         latest = self.caller_sequence
         if latest is None:
             return sorted(sequences)
@@ -117,9 +117,9 @@
 
         An answer is expected to take ``answer`` seconds.  Callers that waited
         through an outage rank first when they are about to leave.  Next are
-        requests that can be answered in time, by priority, then late ones,
-        by priority and departure of the caller.  Callers that would leave
-        before the answer rank last.
+        requests that can be answered in time, by priority and latest deadline,
+        then late ones, by priority and earliest departure of the caller.
+        Callers that would leave before the answer rank last.
         """
         start = now + answer
         if self.is_from_outage:
--- a/packages/keelgap-agent/src/keelgap_agent/packets/notices.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/notices.py
@@ -32,7 +32,7 @@
     """
     if not event.envelope.content:
         # A balancer of an earlier release sends no notice.
-        return _release_openings(state, event.now)
+        return _record_notice(state, event.now)
     notice = unpack_notice(event.envelope.content)
     if event.envelope.service_tag != state.service_tag:
         # About a former upstream on this host, of another service.
@@ -48,7 +48,7 @@
         # Not from a balancer whose catalog is behind.
         warm_at = event.now + notice.warm_up_ms / _MILLISECONDS
         state.warm_up_limiter.configure(notice.warm_up_flow_rate, warm_at)
-    released = _release_openings(state, event.now)
+    released = _record_notice(state, event.now)
     is_current = notice.revision >= state.registrar.directory.revision
     if not notice.shards or not is_current:
         return (*effects, *released)
@@ -57,8 +57,8 @@
     return (*effects, *registered, *released)
 
 
-def _release_openings(state: AgentState, now: float) -> Effects:
-    """Admit the opening packets that waited for the first notice."""
+def _record_notice(state: AgentState, now: float) -> Effects:
+    """Record that a notice arrived; admit openings that waited for it."""
     state.registrar.has_notice = True
     return release_openings(state, now)
 
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/acknowledgments.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/acknowledgments.py
@@ -36,5 +36,5 @@
 
 
 def follows_opening(number: int, initial_sequence: int) -> bool:
-    """Return whether a sequence number is the first after an opening packet."""
+    """Return whether a number equals or follows that of an opening packet."""
     return (number - initial_sequence) % _SEQUENCE_NUMBERS <= _MAX_DISTANCE
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
@@ -190,7 +190,7 @@
     """Record the outcome that a packet bounced by the upstream shows.
 
     The upstream bounces a packet, that is, returns it, if it does not accept
-    it.  A bounce on a flow that was open only shows that the upstream restarted.
+    it.  On a flow that was open this only shows that the upstream restarted.
     A bounce of the caller's first data shows that the upstream lost the flow
     just after it accepted it.
     """
@@ -271,7 +271,7 @@
 
 
 def _compute_response_timeout(state: AgentState) -> float:
-    """Return after how many seconds without a response a request is late."""
+    """Return the seconds without a response until a request is overdue."""
     response_time = state.answer_seconds
     upper_bound = max(
         defaults.MAX_RESPONSE_TIMEOUT_SECONDS,
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/ejection.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/ejection.py
@@ -36,12 +36,13 @@
         self.wants_trial = False
         #: When the upstream was ejected, or the latest trial failed.
         self.wait_started_at = float('-inf')
-        #: Seconds from then until the next trial.
+        #: Seconds from the start of the wait until the next trial.
         self.wait_seconds: float = 0
+        #: When the last ejection ended.
         self.returned_at = float('-inf')
         #: Since when a trial is wanted and none has arrived.
         self.wanted_since: float | None = None
-        #: Number of consecutive good responses.
+        #: Number of consecutive good responses since the wait started.
         self.good_trials = 0
         #: When each flow was admitted as a trial, by flow key.
         self.trials: dict[bytes, float] = {}
@@ -51,7 +52,7 @@
         self.forced: set[bytes] = set()
 
     def eject(self, now: float, *, is_unresponsive: bool) -> None:
-        """Eject the upstream, for longer if it returned only recently."""
+        """Eject the upstream; try it later if it has returned recently."""
         self.is_unresponsive = is_unresponsive
         if now - self.returned_at > defaults.RELAPSE_SECONDS:
             self.wait_seconds = 0
@@ -59,7 +60,7 @@
         self._start_wait(now, defaults.MAX_WAIT_SECONDS)
 
     def record_trial(self, key: bytes, now: float, *, is_good: bool) -> bool:
-        """Record the outcome of a flow; return whether it is a failed trial.
+        """Record a flow's outcome; return whether it is a failed trial.
 
         Good responses on flows that no other upstream accepted count as well.
         """
@@ -79,7 +80,7 @@
         return self.good_trials >= defaults.RETURN_RESPONSES
 
     def return_to_service(self, now: float) -> None:
-        """End the ejection."""
+        """End the ejection: the upstream gets new flows again."""
         self.is_ejected = False
         self.returned_at = now
         self.trials.clear()
@@ -87,7 +88,7 @@
         self.update(now)
 
     def admit(self, key: bytes, now: float, *, is_trial: bool) -> bool:
-        """Admit a new flow as a trial if one is wanted; return whether it is.
+        """Admit a new flow as a trial if one is wanted; return whether it was.
 
         Flows that a balancer offers as a trial are preferred.  If none arrives
         for some seconds, any flow is admitted.
@@ -105,11 +106,11 @@
         return True
 
     def is_admitted(self, key: bytes) -> bool:
-        """Return whether a flow was admitted since the ejection."""
+        """Return whether an ejected upstream gets a flow, such as a trial."""
         return key in self.trials or key in self.forced
 
     def forget(self, key: bytes) -> None:
-        """Discard a flow that ended without an outcome."""
+        """Stop counting a flow as a trial: it showed no outcome."""
         self.trials.pop(key, None)
         self.forced.discard(key)
 
@@ -131,11 +132,16 @@
             self.wanted_since = now
 
     def _compute_longest_wait(self) -> float:
+        """Return the longest wait in seconds after a failed trial."""
         if self.is_unresponsive:
             return defaults.MAX_WAIT_SECONDS
         return max(self.wait_seconds, defaults.MAX_ERROR_WAIT_SECONDS)
 
     def _start_wait(self, now: float, longest: float) -> None:
+        """Wait twice as long as before, at most ``longest``, for a trial.
+
+        All trials in progress and their good responses are discarded.
+        """
         backoff = max(2 * self.wait_seconds, defaults.MIN_WAIT_SECONDS)
         self.wait_seconds = min(backoff, longest)
         self.wait_started_at = now
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/refusal.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/refusal.py
@@ -16,8 +16,8 @@
     """Return why a flow is refused due to an ejection; None to admit it.
 
     An ejected upstream gets trials, and flows that several other agents have
-    returned: if most upstreams fail, none of them is left out.  These flows are
-    recorded with the ejection.
+    returned: if most upstreams fail, none of them is left out.  Such flows
+    are recorded with the ejection.
     """
     outcomes = state.outcomes
     ejection = outcomes.ejection
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/score.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/score.py
@@ -72,7 +72,7 @@
         self._by_route: dict[bytes, _RouteScore] = {}
 
     def record_success(self, route: bytes, now: float) -> None:
-        """Lower the score for a good response, in total and for its route."""
+        """Lower the scores of lost requests and of the route: it succeeded."""
         self._lost_total = max(self._lost_total - defaults.SUCCESS_WEIGHT, 0)
         score = self._get_route_score(route)
         score.total = max(score.total - defaults.SUCCESS_WEIGHT, 0)
@@ -80,7 +80,10 @@
         score.last_good_at = now
 
     def record_failure(self, outcome: Outcome, route: bytes) -> None:
-        """Add the weight of a failed request."""
+        """Add the weight of a failed request.
+
+        Errors and refusals are summed by route, lost requests in one sum.
+        """
         weight = _ROUTE_WEIGHTS.get(outcome)
         if weight is None:
             self._lost_total = _add_capped(
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/state.py
@@ -29,7 +29,7 @@
 
 
 class AbandonedFlow(NamedTuple):
-    """A flow that was queued at this agent and then abandoned."""
+    """A queued flow that was then reset or returned to its balancer."""
 
     abandoned_at: float
     #: Whether the caller got a reset; otherwise the flow was returned to its
@@ -92,7 +92,7 @@
         self.timed_out.add(request)
 
     def record_response(self, request: InFlightRequest | None) -> None:
-        """Count a response, and correct the score if it was given up.
+        """Count a response; correct the score if its request had timed out.
 
         A response to a request that was counted as silent shows that the
         upstream is slow rather than unresponsive.
@@ -130,7 +130,7 @@
         self.ejection.forget(key)
 
     def abandon(self, key: bytes, now: float, *, is_reset: bool) -> None:
-        """Remember that a queued flow was reset or returned to its balancer."""
+        """Remember a queued flow that was reset or returned."""
         self.forget(key)
         if len(self.abandoned_flows) >= defaults.MAX_ABANDONED:
             self.abandoned_flows.pop(next(iter(self.abandoned_flows)))
--- a/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/reducer.py
@@ -95,6 +95,7 @@
 
 
 def _handle_envelope(state: AgentState, event: EnvelopeArrived) -> Effects:
+    """Record the stamp of an envelope, and handle it according to its kind."""
     state.record_stamp(event.stamp, event.now)
     handler = _ENVELOPE_HANDLERS.get(event.envelope.kind)
     if handler is None:
@@ -106,22 +107,25 @@
 
 
 def _subscribe(state: AgentState, event: EnvelopeArrived) -> Effects:
-    """Subscribe a balancer to load reports and send the first one."""
+    """Subscribe a balancer to load reports, and apply its notice.
+
+    The first report is sent at once.
+    """
     state.balancers.subscribers[event.sender] = event.now
     return _answer_ask(state, event)
 
 
 def _answer_ask(state: AgentState, event: EnvelopeArrived) -> Effects:
-    """Handle the notice of a balancer and send it one load report."""
+    """Apply the notice in an envelope, and reply with a load report."""
     state.balancers.report_formats[event.sender] = event.envelope.hop
     handled = handle_notice(state, event)
     return (make_report_to(state, event.sender), *handled)
 
 
 def _handle_packet(state: AgentState, event: EnvelopeArrived) -> Effects:
-    """Forward a packet to the upstream, or queue it.
+    """Forward a caller's packet to the upstream, queue it, or refuse it.
 
-    A packet of another service goes back to its balancer.
+    A packet of another service is returned to its balancer.
     """
     envelope = event.envelope
     datagram = envelope.content
@@ -151,7 +155,10 @@
     flow: Flow,
     event: EnvelopeArrived,
 ) -> Callable[[AgentState, bytes, EnvelopeArrived], Effects] | None:
-    """Return the handler of a packet of a queued request, or None."""
+    """Return the handler of a packet if a request of its flow is queued.
+
+    It may be queued already, or begin with this packet; else return None.
+    """
     waiting = state.queued.get(key)
     if waiting is not None:
         return (
@@ -168,7 +175,11 @@
     flow: Flow,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Forward a packet to the upstream and record what it contains."""
+    """Forward a caller's packet, and update its flow and requests.
+
+    A balancer that searched for the flow is told that it is owned here, once
+    the upstream has confirmed the flow.
+    """
     envelope = event.envelope
     datagram = envelope.content
     started = _record_caller_packet(state, key, flow, datagram, event.now)
@@ -192,10 +203,11 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects | None:
-    """Handle a packet of an unknown flow; return None if it may be open.
+    """Handle a packet of an unknown flow; return None to treat it as open.
 
-    The agent does not decide whether the upstream has an open flow: such a
-    packet is forwarded, and the upstream bounces it if it does not.
+    Unless the packet opens a flow, the upstream may have the flow open.  The
+    agent does not decide that: it records the flow and returns None, and the
+    upstream bounces the forwarded packet if it does not have the flow.
     """
     envelope = event.envelope
     if key in state.outcomes.abandoned_flows:
@@ -217,6 +229,7 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
+    """Record the data or the end of a flow in a packet from the caller."""
     if state.format.flags(datagram) & ENDS_FLOW:
         # The caller no longer waits for an answer, and upstreams stop the work
         # on a request whose flow has ended.
@@ -235,6 +248,10 @@
     state: AgentState,
     event: UpstreamPacket,
 ) -> Effects:
+    """Forward a packet to its caller, or return a bounced one to a balancer.
+
+    Also update the flow, its request and the queue accordingly.
+    """
     datagram = event.datagram
     flags = state.format.flags(datagram)
     if flags & _BOUNCED:
@@ -280,6 +297,7 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
+    """Record the response or the end of a flow in an upstream's packet."""
     answered: Effects = ()
     classified = record_packet_outcome(state, key, flow, datagram, now)
     flags = state.format.flags(datagram)
@@ -301,7 +319,7 @@
 def _return_bounced_packet(
     state: AgentState, datagram: bytes, now: float
 ) -> Effects:
-    """Return a bounced packet to the balancer that sent it."""
+    """Return a bounced packet to its balancer, and remove the flow."""
     host, hop, kind = state.balancers.read_mark(state.format.mark(datagram))
     packet = state.format.without_bounce(datagram)
     key = state.format.caller_key(packet)
@@ -326,6 +344,7 @@
 
 
 def _handle_timer(state: AgentState, event: TimerFired) -> Effects:
+    """Detect timeouts, remove old flows, and send what is due."""
     now = event.now
     effects = detect_timeouts(state, now)
     if now - state.swept_at >= defaults.SWEEP_INTERVAL_SECONDS:
@@ -336,7 +355,7 @@
 
 
 def _release_and_report(state: AgentState, now: float) -> Effects:
-    """Release queued requests and report changes."""
+    """Release queued requests; send due registrations and load reports."""
     released = release_queued(state, now)
     directory_effects = (
         *retry_notice_request(state, now),
@@ -357,6 +376,7 @@
 
 
 def _send_all_reports(state: AgentState, now: float) -> Effects:
+    """Send a load report to all subscribed balancers, and the due ones."""
     subscribers = state.balancers.subscribers
     expired = [
         host
@@ -371,9 +391,9 @@
 
 
 def _send_due_reports(state: AgentState) -> Effects:
-    """Send a report to each balancer that offered a flow.
+    """Send a load report to each balancer that offered a flow.
 
-    It shows them that this agent is alive.  In a large fleet a balancer
+    The report shows that this agent is alive.  In a large fleet a balancer
     subscribes to few agents only, and hears nothing else from the others.
     """
     due = state.balancers.reports_due
@@ -399,6 +419,7 @@
 
 
 def _choose_idle_timeout(flow: Flow) -> float:
+    """Return the seconds without a packet after which a flow is removed."""
     if flow.ended:
         return defaults.ENDED_FLOW_SECONDS
     if flow.confirmed:
@@ -407,7 +428,10 @@
 
 
 def _stop(state: AgentState, event: StopRequested) -> Effects:
-    """Stop taking new flows, and report so at once."""
+    """Refuse new flows from now on, and report so to balancers.
+
+    All queued requests are forwarded.
+    """
     state.stopping_since = event.now
     refused = release_openings(state, event.now)
     released = (*refused, *release_all(state, event.now))
--- a/packages/keelgap-agent/src/keelgap_agent/packets/refusals.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/refusals.py
@@ -14,7 +14,10 @@
     event: EnvelopeArrived,
     request: QueuedRequest,
 ) -> str | None:
-    """Return why a new flow is refused; None if it is admitted."""
+    """Return why a new flow is refused, as a counter name; None to admit it.
+
+    Refusals due to an ejection are decided in ``outlier_ejection/refusal.py``.
+    """
     now = event.now
     if state.stopping_since is not None:
         return 'miss_closed'
--- a/packages/keelgap-agent/src/keelgap_agent/packets/registrar.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/registrar.py
@@ -55,7 +55,7 @@
         self.stream_number = 0
         #: Identifies the start of the upstream; 0 until a balancer tells it.
         self.upstream_tag = 0
-        #: Catalog revision of the notice from which the tag was taken.
+        #: Latest known revision of the upstream's entry in the catalog.
         self.upstream_revision = 0
         #: Whether no upstream ran here when this process started.
         self.predates_upstream = False
--- a/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
@@ -88,7 +88,7 @@
     directory: FlowDirectory,
     now: float,
 ) -> Effects:
-    """Register all flows with a directory's new nodes, not with former ones."""
+    """Register all flows with new directory nodes; drop former nodes."""
     registrar = state.registrar
     if directory.shards != registrar.directory.shards:
         # Flows may belong to other shards now.
@@ -138,10 +138,11 @@
 
 
 def refresh_registrations(state: AgentState, now: float) -> Effects:
-    """Send due registrations, even empty ones, and all flows from time to time.
+    """Send due registrations, even empty ones; renew old streams.
 
-    Once all flows that another agent process forwarded must have ended, also
-    announce that this agent knows all flows of its upstream.
+    A renewed stream registers all flows again.  Once all flows that another
+    agent process forwarded must have ended, also announce that this agent
+    knows all flows of its upstream.
     """
     registrar = state.registrar
     effects: list[AgentEffect] = []
@@ -174,7 +175,7 @@
 
 
 def _begin_stream(state: AgentState, node: str, now: float) -> Effects:
-    """Register all flows of a directory node's shards with it, as a new stream."""
+    """Register all flows of a directory node's shards, in a new stream."""
     registrar = state.registrar
     registrar.stream_number += 1
     stream = RegistrationStream(registrar.stream_number, now)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/request_log.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/request_log.py
@@ -38,7 +38,7 @@
 
 
 def log_pending_requests(state: AgentState, key: bytes, flow: Flow) -> Effects:
-    """Log the requests of a flow that was searched and is owned here."""
+    """Log the start of a flow's requests, once it is known to be here."""
     return tuple(
         _make_log_entry(state, key, request) for request in flow.requests
     )
@@ -49,6 +49,7 @@
     key: bytes,
     request: LoggedRequest,
 ) -> Decided:
+    """Return the log line for the start of a request."""
     fields = {
         'request': request.request_id,
         'flow': state.format.describe_key(key),
@@ -65,7 +66,10 @@
     datagram: bytes,
     now: float,
 ) -> Effects:
-    """Log a request with the status at the start of its answer."""
+    """Log and measure the answer to a flow's oldest request.
+
+    Nothing is done unless the packet starts with a status.
+    """
     status = state.format.read_status(datagram)
     if not status or not flow.requests:
         return ()
@@ -91,7 +95,7 @@
     flow: Flow,
     reason: str,
 ) -> Effects:
-    """Log the pending requests of a flow, which get no answer."""
+    """Log that a flow's pending requests get no answer, and remove them."""
     requests = flow.requests
     flow.requests = []
     return tuple(
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/continuations.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/continuations.py
@@ -16,7 +16,10 @@
 def record_packet_length(
     state: AgentState, flow: Flow, datagram: bytes
 ) -> None:
-    """Record whether the latest data of a caller filled its packet."""
+    """Record whether a caller's latest packet was full of data.
+
+    If so, the next one may continue the same request.
+    """
     route_policy = flow.route_policy
     if route_policy is None:
         return
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/order.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/order.py
@@ -24,7 +24,10 @@
 
 
 def has_capacity(state: AgentState, now: float) -> bool:
-    """Return whether the upstream can take another request."""
+    """Return whether the upstream can take another request.
+
+    With the feature ``scheduling``, overdue requests do not count against it.
+    """
     state.workload.record_mean_response(now, state.answer_seconds)
     if state.has_capacity:
         return True
@@ -60,11 +63,12 @@
     ready: Sequence[bytes],
     now: float,
 ) -> bytes | None:
-    """Return the starved request that goes out of turn now, if any.
+    """Return the starved request that goes before all others now, if any.
 
-    It is one of the priority that was served longest ago.  Otherwise the late
-    requests of a priority that saturates the upstream would take all such
-    turns from the others.
+    Starved requests have been queued for too long.  The chosen one is of the
+    priority that was served longest ago.  Otherwise the late requests of a
+    priority that saturates the upstream would take all such turns from the
+    others.
     """
     starved_before = now - defaults.STARVED_SECONDS
     expected_at = now + state.answer_seconds
@@ -96,7 +100,7 @@
     queued: QueuedRequest,
     now: float,
 ) -> tuple[AgentEffect, ...]:
-    """Measure the queueing time of a request that is sent to the upstream.
+    """Return the measured queueing time of a request that is released.
 
     Also record whether its last packet was full.
     """
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/route_policy.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/route_policy.py
@@ -24,7 +24,7 @@
 
 
 def read_opening_policy(envelope: Envelope) -> RoutePolicy:
-    """Return the policy from the envelope of an opening packet.
+    """Return the route policy from the envelope of an opening packet.
 
     The envelope holds the time that this caller has left of both limits, and
     how long it has waited already; the limits are the sums.
@@ -41,7 +41,7 @@
     envelope: Envelope,
     policy: RoutePolicy | None,
 ) -> RoutePolicy | None:
-    """Return the policy after a subsequent packet of a flow.
+    """Return a flow's route policy, updated by a later packet's envelope.
 
     The packet's envelope holds the current priority and target response time of
     the route, for the next request.  A balancer that does not know them, or
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
@@ -44,7 +44,10 @@
     flow: Flow,
     event: EnvelopeArrived,
 ) -> bool:
-    """Return whether a packet begins a request that must be queued."""
+    """Return whether a packet begins a request that must be queued.
+
+    Also update the flow's route policy from the envelope and the data.
+    """
     if not state.features.scheduling:
         return False
     flow.route_policy = update_policy(event.envelope, flow.route_policy)
@@ -86,7 +89,11 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Handle a packet of a flow whose subsequent request is queued."""
+    """Handle a caller's packet of a flow whose subsequent request is queued.
+
+    New data are added to the queued request, and other packets are forwarded.
+    If the packet ends the flow, the request is forwarded or dropped.
+    """
     envelope = event.envelope
     datagram = envelope.content
     flow = state.flows[key]
@@ -150,9 +157,10 @@
     packet: bytes,
     now: float,
 ) -> Effects:
-    """Send the queued request of a flow of which the upstream bounced a packet.
+    """Handle a packet bounced by the upstream: send the queued request.
 
-    The upstream bounces that request as well, so its end is logged at once.
+    Also record the outcome.  The upstream bounces that request as well, so its
+    end is logged at once.
     """
     flow = state.flows.get(key)
     if flow is None or flow.searched_by is not None:
@@ -167,6 +175,7 @@
 
 
 def _is_subsequent_queued(state: AgentState, key: bytes) -> bool:
+    """Return whether a request other than a flow's first is queued."""
     queued = state.queued.get(key)
     return queued is not None and queued.is_subsequent
 
@@ -193,6 +202,7 @@
 
 
 def _make_queued_request(flow: Flow, event: EnvelopeArrived) -> QueuedRequest:
+    """Return a queue entry with the time limits of the flow's route."""
     now = event.now
     route_policy = flow.route_policy
     assert route_policy is not None
@@ -215,7 +225,7 @@
     queued: QueuedRequest,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Store one copy of each packet, and send what there is capacity for."""
+    """Add a packet to a queued request, and release what has capacity."""
     sequence = state.format.sequence(event.envelope.content)
     is_copy = sequence in queued.packets
     if is_copy or len(queued.packets) < agent_defaults.MAX_QUEUED_PACKETS:
@@ -242,6 +252,7 @@
 
 
 def _describe(state: AgentState, key: bytes, now: float) -> dict[str, object]:
+    """Return the log fields of a queued request."""
     queued = state.queued[key]
     return {
         'flow': state.format.describe_key(key),
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/workload.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/workload.py
@@ -14,7 +14,7 @@
 
 
 class Workload:
-    """The flows with a request in flight, and the state of the scheduler."""
+    """Flows with a request in flight, and when queued requests were served."""
 
     __slots__ = (
         'mean_response_time',
@@ -40,7 +40,7 @@
     def record_mean_response(
         self, now: float, mean_response_time: float
     ) -> None:
-        """Record the mean response time, which changes with each response."""
+        """Record the mean response time; a change shows a new response."""
         if mean_response_time != self.mean_response_time:
             self.mean_response_time = mean_response_time
             self.last_response_at = now
--- a/packages/keelgap-agent/src/keelgap_agent/packets/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/server.py
@@ -100,7 +100,7 @@
         })
 
     def start(self) -> None:
-        """Start serving."""
+        """Start to read packets, to serve the pages and to run the timer."""
         loop = self.loop
         loop.add_reader(
             self.upstream_socket,
@@ -127,7 +127,7 @@
         loop.call_every(defaults.TIMER_SECONDS, self._tick)
 
     def stop(self) -> None:
-        """Stop gracefully, once the requests in progress have ended."""
+        """Begin a graceful stop, which ends with the requests in progress."""
         if self.state.stopping_since is None:
             self.process.lines.log('stopping', busy=self.state.busy)
             self._dispatch(StopRequested(self.loop.clock()))
@@ -143,12 +143,14 @@
         return ('upstream.service', 'upstream.address')
 
     def _read_upstream(self, datagram: bytes, sender: tuple[str, int]) -> None:
+        """Handle a packet from the upstream; drop a malformed one."""
         if not self.format.has_valid_length(datagram):
             self.process.counters.count('drop_malformed_packet')
             return
         self._dispatch(UpstreamPacket(self.loop.clock(), datagram))
 
     def _read_peer(self, datagram: bytes, sender: tuple[str, int]) -> None:
+        """Handle an envelope from another host; drop a malformed one."""
         try:
             envelope, stamp = unpack_envelope(datagram)
         except MalformedEnvelope as error:
@@ -158,6 +160,7 @@
         self._dispatch(EnvelopeArrived(now, sender[0], envelope, stamp))
 
     def _dispatch(self, event: AgentEvent) -> None:
+        """Apply an event to the state, and carry out its effects."""
         state, effects = reduce(self.state, event)
         self.state = state
         handlers = self.handlers
@@ -165,6 +168,7 @@
             handlers[type(effect)](effect)
 
     def _observe(self, effect: Observed) -> None:
+        """Record a duration in a histogram of the service."""
         service = self.settings.upstream.service
         self.process.counters.observe(effect.name, service, effect.seconds)
 
@@ -199,6 +203,7 @@
         datagram: bytes,
         receiver: tuple[str, int],
     ) -> None:
+        """Send a datagram to another host; count it if that fails."""
         if not send_datagram(self.peer_socket, datagram, receiver):
             self.process.counters.count('send_failed')
 
@@ -221,6 +226,7 @@
         return make_ready_page(self.state.stopping_since is None)
 
     def _tick(self) -> None:
+        """Handle the timer, and end the process after a graceful stop."""
         now = self.loop.clock()
         self._dispatch(TimerFired(now))
         since = self.state.stopping_since
--- a/packages/keelgap-agent/src/keelgap_agent/packets/service_time.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/service_time.py
@@ -21,11 +21,13 @@
 
     def __init__(self) -> None:
         """Start without samples."""
+        #: Answers in the mean, up to the number over which it is taken.
         self.samples = 0
+        #: The mean service time.
         self.seconds: float = 0
 
     def record(self, duration: float, busy_on_arrival: int, slots: int) -> None:
-        """Record the time to one answer.
+        """Update the mean with the seconds to one answer.
 
         ``busy_on_arrival`` is the number of requests that were in progress or
         waiting at the upstream when this one arrived.
@@ -41,7 +43,7 @@
 
     @property
     def milliseconds(self) -> int:
-        """Return the mean service time; 0 until there are enough samples."""
+        """Return the mean service time; 0 if there are too few samples yet."""
         if self.samples < defaults.MIN_SERVICE_TIME_SAMPLES:
             return 0
         return max(round(self.seconds * _MILLISECONDS), 1)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/state.py
@@ -64,6 +64,7 @@
         #: Requests that wait for a free slot, and new flows whose first request
         #: has not arrived, by flow key.
         self.queued: dict[bytes, QueuedRequest] = {}
+        #: Requests that the upstream processes at once, as balancers state.
         self.slots = defaults.INITIAL_SLOTS
         #: Moving average of the time to an answer; 0 before the first one.
         self.answer_seconds: float = 0
@@ -78,11 +79,16 @@
         #: When a balancer last reported that entries may be missing, since it
         #: did not reach the store.
         self.store_unreachable_at = float('-inf')
+        #: When the process was asked to stop, if it was.
         self.stopping_since: float | None = None
+        #: When old flows were last removed.
         self.swept_at = now
 
     def reset_outcomes(self, now: float) -> None:
-        """Reset outcomes and service time, after another upstream started."""
+        """Discard the upstream's score, ejection and service time.
+
+        They belong to a former upstream.  Abandoned flows are kept.
+        """
         for flow in self.flows.values():
             flow.in_flight_request = None
         abandoned_flows = self.outcomes.abandoned_flows
@@ -108,18 +114,18 @@
         self.directory = DirectoryNode(now)
 
     def record_stamp(self, stamp: Stamp, now: float) -> None:
-        """Record what a balancer knows of the store, to pass it on."""
+        """Record an envelope's stamp: what its sender knows of the store."""
         self.latest_change = max(self.latest_change, stamp.latest_change)
         if stamp.may_lack_entries:
             self.store_unreachable_at = now
 
     def make_stamp(self, now: float) -> Stamp:
-        """Return what balancers recently reported about the store."""
+        """Return the stamp for sent envelopes, from those received."""
         since = now - self.store_unreachable_at
         return Stamp(self.latest_change, since < ENTRY_RECOVERY_SECONDS)
 
     def make_report(self) -> LoadReport:
-        """Return the current load report for balancers."""
+        """Return the load report that describes the present state."""
         return LoadReport(
             busy=self.busy + len(self.queued),
             flows=len(self.flows),
@@ -148,7 +154,7 @@
         envelope: Envelope,
         start_ms: int = 0,
     ) -> SendToPeer:
-        """Return the effect that returns a packet to its balancer.
+        """Return the effect that returns a caller's packet to its balancer.
 
         ``start_ms`` is the time until the upstream has capacity for the flow,
         if it is returned for lack of capacity, else 0.
@@ -165,7 +171,7 @@
     def forward_to_upstream(
         self, host: str, envelope: Envelope
     ) -> SendToUpstream:
-        """Return the effect that forwards a packet to the upstream.
+        """Return the effect that forwards a balancer's packet to the upstream.
 
         The packet is marked, so that a bounce can be returned to the balancer.
         """
@@ -188,15 +194,19 @@
         return in_progress < self.slots + defaults.PREFETCH_COUNT
 
     def record_opening(self, now: float) -> None:
-        """Record an opening packet, which may be the first after an outage."""
+        """Record the arrival of an opening packet, to detect outages.
+
+        The first one after a pause is taken for the end of an outage.
+        """
         if now - self.last_opening_at > defaults.OUTAGE_PAUSE_SECONDS:
             self.traffic_resumed_at = now
         self.last_opening_at = now
 
     def record_data(self, flow: Flow, sequence: int, now: float) -> bool:
-        """Record data of a caller; return whether it is new.
+        """Record data that a caller sends; return whether they are new.
 
-        Retransmitted data does not count as a new request.
+        New data start a request, unless one is in progress.  Retransmitted
+        data and those of an ended flow do not count as new.
         """
         if not flow.is_new_sequence(sequence):
             return False
@@ -207,14 +217,17 @@
         return True
 
     def start_request(self, flow: Flow, now: float) -> None:
-        """Record that the upstream works on a request of a flow."""
+        """Record that the upstream works on a flow's request from now on."""
         if flow.busy_since is None:
             flow.busy_since = now
             flow.busy_on_arrival = self.busy
             self.workload.flows[flow] = None
 
     def end_request(self, flow: Flow, now: float) -> None:
-        """Record that the upstream answers the request of a flow."""
+        """Record that the upstream answers or ends the request of a flow.
+
+        Its duration updates the mean time to an answer.
+        """
         if flow.busy_since is None:
             return
         duration = now - flow.busy_since
@@ -227,7 +240,7 @@
     def record_service_time(
         self, flow: Flow, datagram: bytes, now: float
     ) -> None:
-        """Update the service time from an answer that is not an error."""
+        """Update the mean service time with an answer that is not an error."""
         if not self.features.placement or flow.busy_since is None:
             return
         if self.format.read_status(datagram) < defaults.FIRST_ERROR_STATUS:
@@ -235,7 +248,10 @@
             self.service_time.record(duration, flow.busy_on_arrival, self.slots)
 
     def cancel_request(self, flow: Flow) -> None:
-        """Record that the upstream no longer works on the request of a flow."""
+        """Record that the upstream no longer works on a flow's request.
+
+        Its outcome is no longer tracked.
+        """
         if flow.busy_since is not None:
             flow.busy_since = None
             self.workload.flows.pop(flow, None)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/warm_up_limiter.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/warm_up_limiter.py
@@ -15,12 +15,13 @@
     """Sliding-window limit on the new flows of an upstream during warm-up."""
 
     def __init__(self, excess: float, slack: float, now: float) -> None:
-        """Allow ``excess`` times the configured rate, and ``slack`` more."""
+        """Allow ``excess`` times the configured rate, plus ``slack`` flows."""
         self.excess = excess
         self.slack = slack
         #: New flows per second that the upstream can take until it is warm; 0
         #: if no rate is configured.
         self.rate: float = 0
+        #: When the warm-up ends, and with it the limit.
         self.warm_at = float('-inf')
         #: When new flows were forwarded to the upstream, within one window.
         self.forwarded_at: deque[float] = deque()
@@ -29,11 +30,14 @@
         self.started_at = now
 
     def assume_full_window(self) -> None:
-        """Assume that another agent process has filled the present window."""
+        """Assume that another agent process has filled the first window.
+
+        So with a configured rate no flow is allowed before the window ends.
+        """
         self.unknown_until = self.started_at + defaults.WARM_UP_WINDOW_SECONDS
 
     def configure(self, rate: float, warm_at: float) -> None:
-        """Set the configured rate and the time when the upstream is warm."""
+        """Set the rate in new flows per second, and when the limit ends."""
         self.rate = rate
         self.warm_at = warm_at
 
@@ -56,6 +60,7 @@
         self.forwarded_at.append(now)
 
     def _expire(self, now: float) -> None:
+        """Discard flows that were forwarded before the present window."""
         window_start = now - defaults.WARM_UP_WINDOW_SECONDS
         while self.forwarded_at and self.forwarded_at[0] <= window_start:
             self.forwarded_at.popleft()
