--- a/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
@@ -104,7 +104,8 @@
 ) -> Effects:
     """Handle a caller's packet of a flow whose first request is queued.
 
-    Data are added to the queue; an opening or closing packet is forwarded.
+    Data are added to the queue, and an opening packet is forwarded.  A closing
+    packet is forwarded and removes the request from the queue.
     """
     envelope = event.envelope
     datagram = envelope.content
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/abandonment.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/abandonment.py
@@ -42,8 +42,9 @@
 
 
 def abandon_queued_flows(state: AgentState, now: float) -> Effects:
-    """Return or reset the queued flows of an ejected upstream.
+    """Reset queued flows of an ejected upstream, or return them.
 
+    Flows without a reply to their opening packet return to their balancers.
     Flows that were admitted since the ejection, such as trials, are kept.
     """
     effects: list[AgentEffect] = []
@@ -58,10 +59,10 @@
 
 
 def return_opening(state: AgentState, key: bytes, now: float) -> Effects:
-    """Return a flow whose opening packet got no reply to its balancer.
+    """Return a flow to its balancer after its opening packet got no reply.
 
-    It is kept if it may be open already, or if its balancer is of an earlier
-    release: that might reset the flow although another upstream has it.
+    The flow is kept if it may be open already, or if its balancer is of an
+    earlier release, which might reset it although another upstream has it.
     """
     event = state.outcomes.unanswered_openings.pop(key)
     is_supported = bool(state.balancers.report_formats.get(event.sender))
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/acknowledgments.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/acknowledgments.py
@@ -36,5 +36,8 @@
 
 
 def follows_opening(number: int, initial_sequence: int) -> bool:
-    """Return whether a number equals or follows that of an opening packet."""
+    """Return whether a sequence number equals or follows an opening packet's.
+
+    An opening packet may take up one sequence number.
+    """
     return (number - initial_sequence) % _SEQUENCE_NUMBERS <= _MAX_DISTANCE
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/detection.py
@@ -190,7 +190,7 @@
     """Record the outcome that a packet bounced by the upstream shows.
 
     The upstream bounces a packet, that is, returns it, if it does not accept
-    it.  On a flow that was open this only shows that the upstream restarted.
+    it.  A bounce on an open flow only shows that the upstream restarted.
     A bounce of the caller's first data shows that the upstream lost the flow
     just after it accepted it.
     """
@@ -222,7 +222,10 @@
 
 
 def _detect_unanswered_openings(state: AgentState, now: float) -> Effects:
-    """Return flows whose opening packet timed out, and count one failure."""
+    """Send flows whose opening packet timed out back to their balancers.
+
+    A single failure is recorded for all of them.
+    """
     outcomes = state.outcomes
     limit = now - defaults.OPENING_TIMEOUT_SECONDS
     is_starting = now - outcomes.started_at < defaults.STARTUP_GRACE_SECONDS
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/reports.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/reports.py
@@ -25,7 +25,7 @@
 
 
 def prepend_reports(state: AgentState, effects: Effects) -> Effects:
-    """Return the effects, after load reports if the ejection has changed.
+    """Return the effects, preceded by load reports if the ejection changed.
 
     A balancer to which a flow is returned then already knows the reason, and
     offers no further flows.
--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/state.py
@@ -44,7 +44,7 @@
         """Start without any request."""
         self.score = OutlierScore()
         self.ejection = Ejection()
-        #: Whether a change of the ejection must be reported at once.
+        #: Whether a change of the ejection must be reported to all balancers.
         self.has_unreported_change = False
         #: Balancers with outdated information, which get a report before
         #: anything else that is sent to them.
--- a/packages/keelgap-agent/src/keelgap_agent/packets/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/state.py
@@ -87,7 +87,7 @@
     def reset_outcomes(self, now: float) -> None:
         """Discard the upstream's score, ejection and service time.
 
-        They belong to a former upstream.  Abandoned flows are kept.
+        To be called after another upstream started.  Abandoned flows are kept.
         """
         for flow in self.flows.values():
             flow.in_flight_request = None
@@ -114,13 +114,19 @@
         self.directory = DirectoryNode(now)
 
     def record_stamp(self, stamp: Stamp, now: float) -> None:
-        """Record an envelope's stamp: what its sender knows of the store."""
+        """Record an envelope's stamp: what its sender knows of the store.
+
+        The agent passes it on with its own envelopes.
+        """
         self.latest_change = max(self.latest_change, stamp.latest_change)
         if stamp.may_lack_entries:
             self.store_unreachable_at = now
 
     def make_stamp(self, now: float) -> Stamp:
-        """Return the stamp for sent envelopes, from those received."""
+        """Return the stamp for sent envelopes, from those received.
+
+        Entries may be missing from the store if a stamp recently said so.
+        """
         since = now - self.store_unreachable_at
         return Stamp(self.latest_change, since < ENTRY_RECOVERY_SECONDS)
 
