--- a/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/admission.py
@@ -209,7 +209,10 @@
 
 
 def _drop_expired(state: AgentState, now: float) -> Effects:
-    """Drop queued requests whose callers must have left; forget new flows."""
+    """Drop the queued requests whose callers must have left by now.
+
+    A flow whose first request is dropped is removed as well.
+    """
     expired = [
         key
         for key, request in state.queued.items()
--- a/packages/keelgap-agent/src/keelgap_agent/packets/capacity/deadlines.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/capacity/deadlines.py
@@ -30,7 +30,8 @@
 class _Queue(NamedTuple):
     """Numbers of queued requests that compete with a new one."""
 
-    #: Requests of the same or a higher priority that can be in time.
+    #: Requests of the same or a higher priority that can be in time; they are
+    #: served before it.
     ahead: int
     #: Requests of the same or a higher priority that are late already, but
     #: can still be answered before their callers leave.
@@ -135,10 +136,11 @@
     queued: 'QueuedRequest',
     now: float,
 ) -> float:
-    """Return the number of late queued requests at which another is refused.
+    """Return how many late requests may be queued before more are refused.
 
     It is an estimate of the late requests that the upstream can serve before
     the caller of the new one leaves, times a factor in favour of admission.
+    First tries may use a share of it.
     """
     capacity = state.capacity
     service_time = capacity.response_interval * state.slots
--- a/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/flows.py
@@ -70,7 +70,7 @@
         self.in_flight_request: InFlightRequest | None = None
 
     def is_new_sequence(self, sequence: int) -> bool:
-        """Return whether the caller's data are later than all before."""
+        """Return whether a sequence number of the caller is a later one."""
         latest = self.caller_sequence
         if latest is None:
             return True
--- a/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/registration.py
@@ -65,10 +65,10 @@
 
 
 def announce_complete(state: AgentState, reason: str, now: float) -> Effects:
-    """Tell the directory nodes that this agent has registered all its flows.
+    """Tell the directory nodes that this agent knows all its upstream's flows.
 
-    It is sent at once: after an outage of the whole fleet, balancers wait for
-    it before they reset dead flows.
+    They may then cover this agent.  They are told at once: after an outage of
+    the whole fleet, balancers wait for that before they reset dead flows.
     """
     registrar = state.registrar
     fields = {
@@ -127,7 +127,10 @@
     flow: Flow,
     now: float,
 ) -> Effects:
-    """Register a flow with the directory nodes of its shard."""
+    """Register a flow with the directory nodes of its shard.
+
+    The upstream may accept the flow, or already has it.
+    """
     flow.is_registered = True
     registrar = state.registrar
     return tuple(
--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
@@ -193,7 +193,10 @@
 
 
 def _has_new_data(state: AgentState, flow: Flow, datagram: bytes) -> bool:
-    """Return whether a packet has data that were not sent to the upstream."""
+    """Return whether a packet has data that were not sent to the upstream.
+
+    A packet that ends its flow does not count.
+    """
     if not state.format.data_length(datagram):
         return False
     if state.format.flags(datagram) & ENDS_FLOW:
@@ -225,7 +228,7 @@
     queued: QueuedRequest,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Add a packet to a queued request, and release what has capacity."""
+    """Add a packet to a queued request, once; release what has capacity."""
     sequence = state.format.sequence(event.envelope.content)
     is_copy = sequence in queued.packets
     if is_copy or len(queued.packets) < agent_defaults.MAX_QUEUED_PACKETS:
