--- a/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/scheduling/subsequent_requests.py
@@ -44,7 +44,10 @@
     flow: Flow,
     event: EnvelopeArrived,
 ) -> bool:
-    """Return whether a packet begins a request that must be queued."""
+    """Return whether a packet begins a request that must be queued.
+
+    Also update the flow's route policy from the envelope and the data.
+    """
     if not state.features.scheduling:
         return False
     flow.route_policy = update_policy(event.envelope, flow.route_policy)
@@ -70,7 +73,7 @@
     event: EnvelopeArrived,
 ) -> Effects:
     """Queue a request, unless it ranks first and there is capacity."""
-    queued = _make_queued(state.flows[key], event)
+    queued = _make_queued_request(state.flows[key], event)
     state.queued[key] = queued
     effects = (
         *_announce_owned(state, key, event),
@@ -86,7 +89,11 @@
     key: bytes,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Handle a packet of a flow whose subsequent request is queued."""
+    """Handle a caller's packet of a flow whose subsequent request is queued.
+
+    New data are added to the queued request, and other packets are forwarded.
+    If the packet ends the flow, the request is forwarded or dropped.
+    """
     envelope = event.envelope
     datagram = envelope.content
     flow = state.flows[key]
@@ -98,7 +105,7 @@
         dequeued = (
             release_queued_request(state, key, event.now)
             if has_data
-            else _drop_abandoned(state, key, event.now)
+            else _drop_departed(state, key, event.now)
         )
         flow.ended = True
         state.cancel_request(flow)
@@ -150,9 +157,10 @@
     packet: bytes,
     now: float,
 ) -> Effects:
-    """Send the queued request of a flow of which the upstream bounced a packet.
+    """Handle a packet bounced by the upstream: send the queued request.
 
-    The upstream bounces that request as well, so its end is logged at once.
+    Also record the outcome.  The upstream bounces that request as well, so its
+    end is logged at once.
     """
     flow = state.flows.get(key)
     if flow is None or flow.searched_by is not None:
@@ -167,6 +175,7 @@
 
 
 def _is_subsequent_queued(state: AgentState, key: bytes) -> bool:
+    """Return whether a request other than a flow's first is queued."""
     queued = state.queued.get(key)
     return queued is not None and queued.is_subsequent
 
@@ -184,7 +193,10 @@
 
 
 def _has_new_data(state: AgentState, flow: Flow, datagram: bytes) -> bool:
-    """Return whether a packet has data that were not sent to the upstream."""
+    """Return whether a packet has data that were not sent to the upstream.
+
+    A packet that ends its flow does not count.
+    """
     if not state.format.data_length(datagram):
         return False
     if state.format.flags(datagram) & ENDS_FLOW:
@@ -192,7 +204,8 @@
     return flow.is_new_sequence(state.format.sequence(datagram))
 
 
-def _make_queued(flow: Flow, event: EnvelopeArrived) -> QueuedRequest:
+def _make_queued_request(flow: Flow, event: EnvelopeArrived) -> QueuedRequest:
+    """Return a queue entry with the time limits of the flow's route."""
     now = event.now
     route_policy = flow.route_policy
     assert route_policy is not None
@@ -215,7 +228,7 @@
     queued: QueuedRequest,
     event: EnvelopeArrived,
 ) -> Effects:
-    """Store one copy of each packet, and send what there is capacity for."""
+    """Add a packet to a queued request, once; release what has capacity."""
     sequence = state.format.sequence(event.envelope.content)
     is_copy = sequence in queued.packets
     if is_copy or len(queued.packets) < agent_defaults.MAX_QUEUED_PACKETS:
@@ -234,7 +247,7 @@
     return (state.send(event.sender, EnvelopeKind.OWNED, key),)
 
 
-def _drop_abandoned(state: AgentState, key: bytes, now: float) -> Effects:
+def _drop_departed(state: AgentState, key: bytes, now: float) -> Effects:
     """Drop a queued request whose caller has left."""
     fields = _describe(state, key, now)
     state.queued.pop(key)
@@ -242,6 +255,7 @@
 
 
 def _describe(state: AgentState, key: bytes, now: float) -> dict[str, object]:
+    """Return the log fields of a queued request."""
     queued = state.queued[key]
     return {
         'flow': state.format.describe_key(key),
