--- a/packages/keelgap/src/keelgap/catalog/builder.py
+++ b/packages/keelgap/src/keelgap/catalog/builder.py
@@ -24,7 +24,10 @@
 
 
 class Decoders(NamedTuple):
-    """Decoders of a platform's entries; they raise EntryRefused."""
+    """Keys and decoders of a platform's entries.
+
+    Decoders raise EntryRefused if an entry is invalid.
+    """
 
     #: Key of the entry with the operators' routes.
     routes_key: str
@@ -34,6 +37,7 @@
     decode_upstream: Callable[[str, Entry], PacketUpstream]
     #: Prefix of the keys that take an availability zone out of service.
     evacuation_prefix: str
+    #: Returns the name of the availability zone.
     decode_evacuation: Callable[[str, Entry], str]
 
 
@@ -45,14 +49,17 @@
 
 
 class CatalogBuilder:
-    """Update a catalog as entries change."""
+    """Builds the catalog and updates it as entries change."""
 
     def __init__(
         self,
         decoders: Decoders,
         on_faults: Callable[[tuple[EntryFault, ...]], None],
     ) -> None:
-        """Call on_faults with the entries of a change that are refused."""
+        """Initialize an empty catalog.
+
+        ``on_faults`` is called with the entries that an update refused.
+        """
         self.decoders = decoders
         self.on_faults = on_faults
         self.catalog = NO_CATALOG
@@ -72,7 +79,7 @@
         latest_change: int,
         missed: Mapping[str, Entry] = NO_ENTRIES,
     ) -> Catalog:
-        """Return the catalog after some keys changed.
+        """Decode the entries of the changed keys, and return the new catalog.
 
         ``missed`` contains entries that were written and deleted since the
         previous update.
@@ -110,13 +117,17 @@
         routes: RouteSet,
         entry: Entry | None,
     ) -> RouteSet:
-        """Return the newer routes; those of a deleted entry stay in force."""
+        """Return the routes of an entry if they are newer than those in force.
+
+        The routes in force stay if their entry was deleted.
+        """
         if entry is None:
             return routes
         newer = self.decoders.decode_routes(entry)
         return newer if newer.version > routes.version else routes
 
     def _update_upstream(self, key: str, entry: Entry | None) -> None:
+        """Store or remove an upstream; raise EntryRefused if invalid."""
         upstream_id = key.removeprefix(self.decoders.upstream_prefix)
         if entry is None:
             self.upstreams.remove(upstream_id)
@@ -136,7 +147,10 @@
         routes: RouteSet,
         faults: list[EntryFault],
     ) -> tuple[PacketUpstream, ...]:
-        """Return missed upstreams whose service is in the routing table."""
+        """Decode upstreams whose entries were written and then deleted.
+
+        Those whose service is not in the operators' table are left out.
+        """
         rows = []
         prefix = self.decoders.upstream_prefix
         for key, entry in missed.items():
@@ -152,6 +166,7 @@
         )
 
     def _update_evacuation(self, key: str, entry: Entry | None) -> None:
+        """Take an availability zone out of service, or back into it."""
         if entry is None:
             zone = key.removeprefix(self.decoders.evacuation_prefix)
             self.evacuated.pop(zone, None)
@@ -167,7 +182,8 @@
     ) -> dict[str, PacketUpstream]:
         """Return the upstreams whose service is in the operators' table.
 
-        Others come into force with a table that contains their service.
+        Others come into force with a table that contains their service; each
+        is added to the faults once.
         """
         rows = self.upstreams.rows
         services = routes.services
--- a/packages/keelgap/src/keelgap/catalog/documents.py
+++ b/packages/keelgap/src/keelgap/catalog/documents.py
@@ -46,9 +46,17 @@
 
 
 def encode_catalog(state: FollowerState, after: int) -> bytes:
-    """Encode the changes after a revision, or all entries if unknown."""
+    """Encode the changes after a revision as a document for a peer.
+
+    The document contains all entries if the revision is 0 or if the changes
+    since then are no longer kept.
+    """
     after = after if after and after >= state.recent_changes_after else 0
-    changes = _list_changes(state, after) if after else _list_all(state)
+    changes = (
+        _list_latest_changes(state, after)
+        if after
+        else _list_all_entries(state)
+    )
     document = {
         'revision': state.revision if state.complete else 0,
         'after': after,
@@ -57,8 +65,8 @@
     return zlib.compress(json.dumps(document).encode(), _COMPRESSION_LEVEL)
 
 
-def _list_changes(state: FollowerState, after: int) -> list[EntryChange]:
-    """Return the latest change of each key, oldest first.
+def _list_latest_changes(state: FollowerState, after: int) -> list[EntryChange]:
+    """Return the latest change of each key after a revision, oldest first.
 
     A deletion is preceded by the last written entry, because a process that
     has never read the entry must learn that it existed.
@@ -73,7 +81,8 @@
     )
 
 
-def _list_all(state: FollowerState) -> list[EntryChange]:
+def _list_all_entries(state: FollowerState) -> list[EntryChange]:
+    """Return each entry as the change that wrote it."""
     return [
         EntryChange(key, entry.revision, entry)
         for key, entry in state.entries.items()
@@ -87,7 +96,10 @@
 
 
 def decode_catalog(now: float, body: bytes) -> FollowerEvent:
-    """Decode a document into an event; raise MalformedCatalog if invalid."""
+    """Decode a document of a peer into a delta or snapshot event.
+
+    Raises MalformedCatalog if the document is invalid.
+    """
     try:
         document = _decode_document(body)
     except _DECODE_ERRORS as error:
@@ -113,6 +125,7 @@
 
 
 def _decompress(body: bytes) -> bytes:
+    """Decompress a document; raise MalformedCatalog if it is too long."""
     decompressor = zlib.decompressobj()
     octets = decompressor.decompress(body, _MAX_OCTETS)
     if not decompressor.eof:
--- a/packages/keelgap/src/keelgap/catalog/driver.py
+++ b/packages/keelgap/src/keelgap/catalog/driver.py
@@ -47,20 +47,23 @@
 
 
 class StoreReader(Protocol):
-    """Store client of a platform; each request results in an event."""
+    """Store client of a platform; it reports each result as an event."""
 
     def read_page(self, after: str) -> None:
-        """Request the page of entries after a key."""
+        """Request the page of entries after a key, or the first if empty."""
 
     def read_first_page_again(self) -> None:
-        """Request the first page again while earlier requests are pending."""
+        """Request the first page again; earlier requests stay pending."""
 
     def watch(self, revision: int, wait_seconds: float) -> None:
-        """Request changes after a revision, waiting for the first."""
+        """Request the changes after a revision.
+
+        The store responds at the first change, or after ``wait_seconds``.
+        """
 
 
 class CatalogDriver:
-    """Runs the follower in one process."""
+    """Follows the store in one process: runs the reducer and its effects."""
 
     def __init__(
         self,
@@ -93,7 +96,7 @@
             ReadPage: self._schedule_page,
             ReadFirstPageAgain: self._read_first_page_again,
             WatchChanges: self._schedule_watch,
-            FetchCatalog: self._fetch,
+            FetchCatalog: self._fetch_catalog,
             EntriesChanged: self._apply_changes,
             StoreLost: self._log_store_lost,
             StoreRegained: self._log_store_regained,
@@ -103,10 +106,10 @@
         """Start reading the store."""
         self.store = store
         self._run_effects(start(self.state))
-        self.loop.call_every(_TIMER_SECONDS, self._tick)
+        self.loop.call_every(_TIMER_SECONDS, self._handle_timer)
 
     def handle_event(self, event: FollowerEvent) -> None:
-        """Apply an event to the state and run its effects."""
+        """Apply an event to the follower's state and run its effects."""
         before = (self.state.revision, self.state.failing_since)
         state, effects = reduce(self.state, event)
         self.state = state
@@ -115,11 +118,11 @@
             self.on_status_change()
 
     def catch_up(self) -> None:
-        """Read changes without waiting for the pause between watches."""
+        """Read changes of the store now, or fetch them from a peer."""
         self.handle_event(CatchUpRequested(self.loop.clock()))
 
     def record_peer_revision(self, peer: Address, revision: int) -> None:
-        """Record the revision that a peer holds."""
+        """Handle the revision of a peer; fetch its catalog if it is later."""
         if revision > self.state.revision:
             self.handle_event(PeerAhead(self.loop.clock(), peer, revision))
 
@@ -133,12 +136,18 @@
         is_reader: bool,  # noqa: FBT001
         processes: int,
     ) -> None:
-        """Start to read the store, or to follow peers that read it."""
+        """Start to read the store, or to follow peers that read it.
+
+        ``processes`` is the number of known processes, including this one.
+        """
         now = self.loop.clock()
         self.handle_event(ReaderRoleDecided(now, is_reader, processes))
 
     def make_catalog_page(self, query: str) -> Page:
-        """Return the changes after the revision in the query, for a peer."""
+        """Return the page with the changes after the revision in the query.
+
+        Peers request it; without a usable revision it has all entries.
+        """
         after = int(query) if query.isdigit() else 0
         return Page(_OK, CONTENT_TYPE, encode_catalog(self.state, after))
 
@@ -146,7 +155,7 @@
         for effect in effects:
             self.handlers[type(effect)](effect)
 
-    def _tick(self) -> None:
+    def _handle_timer(self) -> None:
         self.handle_event(TimerFired(self.loop.clock()))
 
     def _schedule_page(self, effect: ReadPage) -> None:
@@ -169,6 +178,7 @@
         )
 
     def _schedule_call(self, delay: float, call: Callable[[], None]) -> None:
+        """Run a store request after a delay unless another is scheduled."""
         self.scheduled_calls += 1
         if not delay:
             call()
@@ -181,7 +191,8 @@
 
         self.loop.call_after(delay, call_if_latest)
 
-    def _fetch(self, effect: FetchCatalog) -> None:
+    def _fetch_catalog(self, effect: FetchCatalog) -> None:
+        """Request the changes that are missing here from a peer."""
         client = self.peer_client
         if client is None or client.address != effect.peer:
             if client is not None:
@@ -196,6 +207,7 @@
         )
 
     def _handle_peer_response(self, response: HttpResponse) -> None:
+        """Handle the catalog of a peer, or log why the fetch failed."""
         reason = response.failure
         if response.status == _OK:
             try:
@@ -212,6 +224,7 @@
         )
 
     def _apply_changes(self, effect: EntriesChanged) -> None:
+        """Update and log the catalog, and pass it to the callback."""
         catalog = self.builder.update(
             self.state.entries,
             effect.keys,
@@ -246,7 +259,7 @@
         )
 
     def _report_faults(self, faults: tuple[EntryFault, ...]) -> None:
-        """Count every fault, but log a single line per change.
+        """Count every refused entry, but log a single line per update.
 
         A faulty writer usually writes many invalid entries, and their lines
         must not displace those of decisions on flows.
--- a/packages/keelgap/src/keelgap/catalog/effects.py
+++ b/packages/keelgap/src/keelgap/catalog/effects.py
@@ -21,24 +21,34 @@
 class ReadPage(NamedTuple):
     """Request the page of entries after a key from the store."""
 
+    #: Seconds until the request is sent.
     delay: float
+    #: Key after which the page starts; empty for the first page.
     after: str
 
 
 class ReadFirstPageAgain(NamedTuple):
-    """Request the first page again while earlier requests are pending."""
+    """Request the first page of entries again from the store.
+
+    Earlier requests stay pending.
+    """
 
 
 class WatchChanges(NamedTuple):
     """Request changes after a revision from the store."""
 
+    #: Seconds until the request is sent.
     delay: float
     revision: int
+    #: Maximum time for which the store waits for a first change.
     wait_seconds: float
 
 
 class FetchCatalog(NamedTuple):
-    """Request later changes, or all entries, from a peer."""
+    """Request from a peer the changes that this process lacks.
+
+    The peer sends all entries if it no longer has the changes.
+    """
 
     peer: Address
 
@@ -46,6 +56,7 @@
 class EntriesChanged(NamedTuple):
     """Update the catalog: entries were written or deleted."""
 
+    #: Keys of the entries that were written or deleted.
     keys: tuple[str, ...]
     #: Revision of the store up to which all changes are known.
     revision: int
@@ -62,12 +73,14 @@
 class StoreLost(NamedTuple):
     """Log that the store was lost: a request failed after one succeeded."""
 
+    #: Short name of the reason of the failure.
     reason: str
 
 
 class StoreRegained(NamedTuple):
     """Log that the store is back: a request succeeded after failures."""
 
+    #: Seconds since the first of these failures.
     after_seconds: float
 
 
--- a/packages/keelgap/src/keelgap/catalog/events.py
+++ b/packages/keelgap/src/keelgap/catalog/events.py
@@ -33,19 +33,24 @@
 
 
 class EntryChange(NamedTuple):
-    """A write or deletion of an entry."""
+    """A write or deletion of an entry in the store."""
 
     key: str
+    #: Revision of the store after the change.
     revision: int
     #: None if the entry was deleted.
     entry: Entry | None
 
 
 class ChangesRead(NamedTuple):
-    """A watch returned changes, oldest first, or none if it timed out."""
+    """The store returned the changes since the last watch, oldest first.
+
+    There are none if the watch timed out.
+    """
 
     now: float
     changes: tuple[EntryChange, ...]
+    #: Revision of the store up to which the changes are complete.
     revision: int
 
 
@@ -56,7 +61,7 @@
 
 
 class CallFailed(NamedTuple):
-    """A request was refused, interrupted, timed out or got a bad response."""
+    """A request to the store failed, timed out or got a bad response."""
 
     now: float
     #: Short name of the reason, for logs and metrics.
@@ -67,39 +72,42 @@
 
 
 class CatchUpRequested(NamedTuple):
-    """A decision is waiting for changes that are known to others."""
+    """The balancer needs changes of the store that its peers know already."""
 
     now: float
 
 
 class PeerAhead(NamedTuple):
-    """A peer announced that it holds a later revision."""
+    """A peer announced that it holds a later revision of the store."""
 
     now: float
+    #: Address from which the catalog of the peer can be fetched.
     peer: Address
     revision: int
 
 
 class SnapshotReceived(NamedTuple):
-    """A peer sent all entries that it holds."""
+    """A peer sent all entries of the store that it knows."""
 
     now: float
     entries: dict[str, Entry]
+    #: Revision of the store up to which the entries are complete.
     revision: int
 
 
 class DeltaReceived(NamedTuple):
-    """A peer sent the changes after a revision, oldest first."""
+    """A peer sent the changes of the store after a revision, oldest first."""
 
     now: float
     #: Revision after which the changes are complete.
     after: int
     changes: tuple[EntryChange, ...]
+    #: Revision up to which the changes are complete.
     revision: int
 
 
 class ReaderRoleDecided(NamedTuple):
-    """This process should read the store, or follow processes that do."""
+    """The reader election decided whether this process reads the store."""
 
     now: float
     is_reader: bool
--- a/packages/keelgap/src/keelgap/catalog/exceptions.py
+++ b/packages/keelgap/src/keelgap/catalog/exceptions.py
@@ -18,18 +18,18 @@
 
 
 class EntryRefused(KeelgapError):
-    """An entry is invalid or not usable."""
+    """An entry of the store is invalid or not usable."""
 
     code = 'entry_refused'
 
     @property
     def reason(self) -> str:
-        """Return the reason for metrics, one of a small number."""
+        """Return the error code, which becomes part of a metric's name."""
         return self.code
 
 
 class StaleStart(EntryRefused):
-    """The entry reports an earlier start of the upstream."""
+    """The entry is a late report from before a restart of the upstream."""
 
     code = 'stale_start'
 
--- a/packages/keelgap/src/keelgap/catalog/follower.py
+++ b/packages/keelgap/src/keelgap/catalog/follower.py
@@ -41,7 +41,7 @@
 
 
 def start(state: FollowerState) -> Effects:
-    """Return the effects at the start of the process."""
+    """Return the initial effects, which request the first page of entries."""
     return (ReadPage(0, ''),)
 
 
@@ -54,6 +54,7 @@
 
 
 def _handle_page(state: FollowerState, event: PageRead) -> Effects:
+    """Request the next page; after the last one replace all entries."""
     regained = _record_response(state, event.now)
     if state.first_page_revision is None:
         state.first_page_revision = event.revision
@@ -69,7 +70,10 @@
 
 
 def _continue_watching(state: FollowerState, delay: float) -> Effects:
-    """Watch for the next changes if this process reads the store."""
+    """Request the next changes after a delay in seconds.
+
+    A process that does not read the store goes idle instead.
+    """
     if not state.is_reader:
         state.is_idle = True
         return ()
@@ -77,7 +81,7 @@
 
 
 def _go_idle(state: FollowerState) -> Effects:
-    """Make no requests until this process becomes a reader again."""
+    """Make no requests to the store until this process is a reader again."""
     _end_reading(state)
     state.is_idle = True
     state.failures = 0
@@ -88,7 +92,10 @@
 def _handle_reader_role(
     state: FollowerState, event: ReaderRoleDecided
 ) -> Effects:
-    """Start to read or to follow; a pending request still completes."""
+    """Start to read the store, or to follow processes that read it.
+
+    A pending request still completes.
+    """
     state.is_reader = event.is_reader
     state.retry_scale = max(event.processes / defaults.READER_COUNT, 1)
     if not event.is_reader or not state.is_idle:
@@ -99,12 +106,14 @@
 
 
 def _end_reading(state: FollowerState) -> None:
+    """Discard the pages of a full read that ended or was interrupted."""
     state.pages = {}
     state.first_page_revision = None
     state.reading_after = None
 
 
 def _handle_changes(state: FollowerState, event: ChangesRead) -> Effects:
+    """Apply changes from the store and schedule the next watch."""
     regained = _record_response(state, event.now)
     applied = apply_changes(state, event.changes, event.revision, 'store')
     state.synced_at = event.now
@@ -114,7 +123,7 @@
 
 
 def _handle_delta(state: FollowerState, event: DeltaReceived) -> Effects:
-    """Apply changes from a peer if they continue the known revision."""
+    """Apply changes from a peer if none are missing before them."""
     if not event.after <= state.revision < event.revision:
         return ()
     state.synced_at = event.now
@@ -122,7 +131,7 @@
 
 
 def _handle_catch_up(state: FollowerState, event: CatchUpRequested) -> Effects:
-    """End the pause between watches early."""
+    """End the pause between watches early, or fetch changes from a peer."""
     if event.now >= state.batching_until:
         # A request is pending, or this process follows its peers.
         return _fetch_from_peer(state, event.now)
@@ -131,6 +140,7 @@
 
 
 def _record_response(state: FollowerState, now: float) -> Effects:
+    """Reset the failures; return StoreRegained if there were any."""
     since = state.failing_since
     state.failures = 0
     state.failing_since = None
@@ -141,6 +151,10 @@
 
 
 def _restart_reading(state: FollowerState, event: HistoryLost) -> Effects:
+    """Read all entries again, because the store lost the next changes.
+
+    A process that does not read the store goes idle instead.
+    """
     if state.complete and not state.is_reader:
         return _go_idle(state)
     _end_reading(state)
@@ -149,6 +163,10 @@
 
 
 def _handle_failure(state: FollowerState, event: CallFailed) -> Effects:
+    """Retry a failed request after a pause that grows with each failure.
+
+    A process that does not read the store goes idle instead.
+    """
     lost: Effects = ()
     if state.complete and not state.is_reader:
         # Others read the store, so this failure has no effect.
@@ -174,13 +192,17 @@
 
 
 def _get_max_pause(state: FollowerState) -> float:
-    """Return the maximum pause; without a catalog no caller is served."""
+    """Return the maximum pause before a retry, in seconds.
+
+    It is shorter before the first catalog, when no caller is served.
+    """
     if state.complete:
         return state.max_retry_pause
     return defaults.STARTUP_RETRY_MAX_SECONDS * state.retry_scale
 
 
 def _handle_peer_ahead(state: FollowerState, event: PeerAhead) -> Effects:
+    """Record that a peer has a later revision; fetch it if due."""
     if event.revision <= state.revision:
         return ()
     if state.peer_ahead is None:
@@ -197,7 +219,7 @@
 
 
 def _retry_first_page(state: FollowerState, now: float) -> Effects:
-    """Request the first page again if the store does not respond.
+    """Request the first page of entries again if the store is silent.
 
     A request sent while the store is unavailable may never get a response,
     and the store may recover at any moment.
@@ -212,7 +234,7 @@
 
 
 def _fetch_from_peer(state: FollowerState, now: float) -> Effects:
-    """Fetch later changes from a peer if the store does not deliver them."""
+    """Fetch a later catalog from a peer if the store does not deliver it."""
     peer_ahead = state.peer_ahead
     if peer_ahead is None:
         return ()
@@ -231,6 +253,7 @@
 
 
 def _handle_snapshot(state: FollowerState, event: SnapshotReceived) -> Effects:
+    """Replace all entries by those of a peer if they are later."""
     if event.revision <= state.revision:
         return ()
     return replace_entries(
--- a/packages/keelgap/src/keelgap/catalog/models.py
+++ b/packages/keelgap/src/keelgap/catalog/models.py
@@ -21,7 +21,7 @@
 
 
 class Entry(NamedTuple):
-    """A value in the platform's store."""
+    """Value of a key in the platform's store, with its revision."""
 
     #: Content as it was written.
     content: bytes
@@ -30,18 +30,19 @@
 
 
 class TrafficShare(NamedTuple):
-    """Weight by which a service gets new flows of a route."""
+    """Weight of a service in the distribution of a route's new flows."""
 
     service: str
     weight: float
 
 
 class PacketRoute(NamedTuple):
-    """Route of new flows to one address and port."""
+    """Distribution of the flows that callers open to an address and port."""
 
     name: str
     host: str
     port: int
+    #: Services that get the flows, with their weights.
     shares: tuple[TrafficShare, ...]
     #: Priority; 0 is served first under overload.
     priority: int = 0
@@ -64,6 +65,7 @@
 class RouteSet(NamedTuple):
     """Routes and services of one version of the operators' table."""
 
+    #: Version of the table, increasing.
     version: int
     routes: tuple[PacketRoute, ...]
     #: Seconds without a packet after which a flow may be removed.
@@ -82,28 +84,28 @@
 
 
 class PacketUpstream(NamedTuple):
-    """One start of an upstream instance, as reported by the upstream."""
+    """Latest report of an upstream since its start, read from the store."""
 
     upstream_id: str
     service: str
     #: Address on which the upstream listens; its agent is on the same host.
     address: Address
     availability_zone: str
-    #: Number of requests that it runs concurrently.
+    #: Number of requests that the upstream runs concurrently.
     slots: int
     state: Literal['active', 'draining']
-    #: Reported seconds for which it stays slow after its start.
+    #: Seconds for which it is slow after its start, as it reports.
     warm_up_seconds: float
     #: Revision of the store at the last write of its entry.
     revision: int = 0
     #: Start time in Unix milliseconds; 0 if the id identifies the start.
     started: int = 0
-    #: Number of reports since this start.
+    #: Number of reports of the upstream since it started.
     reports: int = 0
 
     @property
     def identity(self) -> UpstreamIdentity:
-        """Return the identity of this start."""
+        """Return the identity, which changes when the upstream restarts."""
         return UpstreamIdentity(self.upstream_id, self.started)
 
 
@@ -113,8 +115,9 @@
     #: Revision of the store up to which the catalog is complete.
     revision: int
     routes: RouteSet
+    #: Upstreams by id.
     upstreams: dict[str, PacketUpstream]
-    #: Revision of the latest change of the store that it contains.
+    #: Revision of the latest change of the store in the catalog.
     latest_change: int = 0
     #: Availability zones that the operators took out of service, with the
     #: revision of the store at that time; they get no new flows.
@@ -122,7 +125,7 @@
     #: Upstreams whose entries were written and deleted since the previous
     #: catalog.
     missed: tuple[PacketUpstream, ...] = ()
-    #: Whether there may be more of them that are not known.
+    #: Whether more entries may have been written and deleted unnoticed.
     has_gap: bool = False
 
 
--- a/packages/keelgap/src/keelgap/catalog/readers.py
+++ b/packages/keelgap/src/keelgap/catalog/readers.py
@@ -18,14 +18,15 @@
 
 
 class ReaderClaim(NamedTuple):
-    """Claim of a host that it reads the store, direct or relayed."""
+    """Claim of a host that it reads the store, received or relayed."""
 
     host: str
     #: Seconds since the host itself sent the claim.
     age: float
 
 
-def _rank(host: str) -> int:
+def _compute_rank(host: str) -> int:
+    """Return the rank of a host; a lower number ranks higher."""
     return xxh3_64_intdigest(host.encode())
 
 
@@ -33,7 +34,7 @@
     """Readers known to one process, and whether it is a reader itself."""
 
     def __init__(self, own_host: str) -> None:
-        """Initialize as a reader, because no others are known."""
+        """Initialize as a reader, because no other readers are known yet."""
         self.own_host = own_host
         self.is_reader = True
         #: Time of the latest claim of each other reader.
@@ -46,7 +47,7 @@
         self.fresh_seconds = defaults.CLAIM_TTL_SECONDS
 
     def record_claim(self, claim: ReaderClaim, now: float) -> None:
-        """Record a claim unless later information is known."""
+        """Record a claim unless its host sent a later claim or withdrawal."""
         claimed_at = now - claim.age
         if (
             claim.host == self.own_host
@@ -65,14 +66,17 @@
         self.withdrawal_times[host] = now
 
     def list_fresh(self, now: float) -> list[str]:
-        """Return other readers with fresh claims, removing expired ones."""
+        """Return the hosts of other readers whose claims have not expired.
+
+        Expired claims and withdrawals are removed.
+        """
         limit = now - self.fresh_seconds
-        self.claim_times = _drop_older(self.claim_times, limit)
-        self.withdrawal_times = _drop_older(self.withdrawal_times, limit)
+        self.claim_times = _drop_expired(self.claim_times, limit)
+        self.withdrawal_times = _drop_expired(self.withdrawal_times, limit)
         return list(self.claim_times)
 
     def make_claims(self, now: float) -> tuple[ReaderClaim, ...]:
-        """Return the latest claims in order to relay them."""
+        """Return the latest fresh claims of other hosts, for relaying."""
         fresh = self.list_fresh(now)
         fresh.sort(key=self.claim_times.__getitem__, reverse=True)
         return tuple(
@@ -81,10 +85,11 @@
         )
 
     def decide(self, now: float, others: Collection[str]) -> bool:
-        """Return whether this process should read the store.
+        """Decide and return whether this process should read the store.
 
-        Known processes of higher rank get the chance to start first.  Each
-        delays this process by a limited time, in case it has terminated.
+        ``others`` are the hosts of the other known processes.  Known processes
+        of higher rank get the chance to start first.  Each delays this process
+        by a limited time, in case it has terminated.
         """
         if len(others) > defaults.READER_FANOUT:
             # Most processes learn of readers from relayed claims.
@@ -113,10 +118,12 @@
         return self.withdrawal_times.get(host, float('-inf'))
 
 
-def _drop_older(times: dict[str, float], limit: float) -> dict[str, float]:
+def _drop_expired(times: dict[str, float], limit: float) -> dict[str, float]:
+    """Return the hosts whose times are not before the limit."""
     return {host: time for host, time in times.items() if time >= limit}
 
 
 def _make_rank_filter(own_host: str) -> Callable[[str], bool]:
-    limit = _rank(own_host)
-    return lambda host: _rank(host) < limit
+    """Return a function that tells whether a host ranks above the own one."""
+    limit = _compute_rank(own_host)
+    return lambda host: _compute_rank(host) < limit
--- a/packages/keelgap/src/keelgap/catalog/state.py
+++ b/packages/keelgap/src/keelgap/catalog/state.py
@@ -11,7 +11,7 @@
 
 
 class FollowerState:
-    """Entries of the store and progress of reading; mutable."""
+    """Entries of the store and progress of reading them; mutable."""
 
     def __init__(self, now: float) -> None:
         """Initialize without entries."""
@@ -38,11 +38,13 @@
         self.recent_changes_after = 0
         #: End of the pause between watches, in which changes accumulate.
         self.batching_until = now
+        #: Number of consecutive failed requests to the store.
         self.failures = 0
         #: Number of processes that may read the store, as a multiple of
         #: READER_COUNT.  Each multiplies its pauses by this factor, so that the
         #: total rate of requests stays the same.
         self.retry_scale: float = 1
+        #: Time of the first of these failures; None if there are none.
         self.failing_since: float | None = None
         #: Time of the latest response of the store.
         self.answered_at = now
@@ -52,19 +54,21 @@
         self.complete = False
         #: Time of the latest or scheduled request for the first page.
         self.first_page_asked_at = now
+        #: Time of the latest fetch from a peer.
         self.fetched_at = float('-inf')
+        #: Latest announcement of a peer that holds a later revision.
         self.peer_ahead: PeerAhead | None = None
         #: Time since which a peer is known to hold a later revision.
         self.behind_since = now
 
     @property
     def max_retry_pause(self) -> float:
-        """Return the maximum pause after a failure, in seconds."""
+        """Return the maximum pause before a retry, in seconds."""
         return defaults.RETRY_MAX_SECONDS * self.retry_scale
 
     @property
     def reaches_store(self) -> bool:
-        """Return whether the entries are known and the store responds."""
+        """Return whether all entries are known and the store responds."""
         return self.complete and self.failing_since is None
 
 
@@ -75,10 +79,11 @@
     source: str,
     now: float,
 ) -> tuple[EntriesChanged, ...]:
-    """Replace the entries by a full read, but keep later ones.
+    """Replace the entries by those of a full read, but keep later ones.
 
-    A full read does not reveal entries that were written and deleted since
-    the previous read.
+    A read of an earlier revision is ignored.  Returns EntriesChanged for the
+    first read, if entries changed, or if entries may have been written and
+    deleted since the previous read, which a full read does not reveal.
     """
     if revision < state.revision:
         return ()
@@ -120,7 +125,11 @@
     revision: int,
     source: str,
 ) -> tuple[EntriesChanged, ...]:
-    """Apply the changes up to a revision, oldest first."""
+    """Apply the changes up to a revision, oldest first.
+
+    Returns EntriesChanged if the content of an entry differs now, or if an
+    entry was both written and deleted by the changes.
+    """
     pending = [change for change in changes if change.revision > state.revision]
     changed = []
     for change in pending:
@@ -144,7 +153,7 @@
 
 
 def _find_missed(changes: list[EntryChange]) -> dict[str, Entry]:
-    """Return the entries that were both written and deleted."""
+    """Return the last content of entries that were written, then deleted."""
     written = {one.key: one.entry for one in changes if one.entry is not None}
     latest = {one.key: one for one in changes}
     return {
@@ -155,13 +164,14 @@
 
 
 def _record_change(state: FollowerState, change: EntryChange) -> None:
+    """Keep a change for followers; drop the oldest if there are too many."""
     if len(state.recent_changes) == state.recent_changes.maxlen:
         state.recent_changes_after = state.recent_changes[0].revision
     state.recent_changes.append(change)
 
 
 def _apply_change(state: FollowerState, change: EntryChange) -> bool:
-    """Apply a change; return whether the content differs now."""
+    """Apply a change; return whether the entry's content differs now."""
     held = state.entries.get(change.key)
     if held is not None and held.revision >= change.revision:
         return False
@@ -172,4 +182,5 @@
 
 
 def _update_latest_change(state: FollowerState, revisions: list[int]) -> None:
+    """Raise the latest known change to the highest revision."""
     state.latest_change = max(state.latest_change, *revisions, 0)
--- a/packages/keelgap/src/keelgap/catalog/upstream_table.py
+++ b/packages/keelgap/src/keelgap/catalog/upstream_table.py
@@ -24,18 +24,23 @@
 
 
 class UpstreamTable:
-    """Upstreams by id, decoded from valid entries."""
+    """Latest report of each upstream, by id."""
 
     def __init__(self) -> None:
         """Initialize an empty table."""
         self.rows: dict[str, PacketUpstream] = {}
-        #: Latest start of each id, including ids whose entry was deleted.
+        #: Unix milliseconds of the latest start of each id, including ids whose
+        #: entry was deleted.
         self.started: dict[str, int] = {}
         #: Number of consecutive refused reports, by id.
         self.refused: dict[str, int] = {}
 
     def put(self, upstream: PacketUpstream) -> None:
-        """Store a report; raise StaleStart if a later start is known."""
+        """Store a report of an upstream.
+
+        Raises StaleStart if a later start is known, until MAX_REFUSED_REPORTS
+        reports in a row were refused.
+        """
         upstream_id = upstream.upstream_id
         latest_start = self.started.get(upstream_id, 0)
         refused = self.refused.get(upstream_id, 0)
@@ -48,7 +53,10 @@
             self.started[upstream_id] = upstream.started
 
     def remove(self, upstream_id: str) -> None:
-        """Remove an upstream, but remember its start."""
+        """Remove an upstream, but remember when it started.
+
+        The oldest start is forgotten if too many are remembered.
+        """
         self.rows.pop(upstream_id, None)
         if len(self.started) <= len(self.rows) + MAX_REMEMBERED_IDS:
             return
--- a/packages/keelgap/src/keelgap/packets/counters.py
+++ b/packages/keelgap/src/keelgap/packets/counters.py
@@ -28,11 +28,13 @@
 
 
 class Histogram:
-    """Numbers of durations by bucket, and their sum."""
+    """Number of durations in each bucket, and the sum of all durations."""
 
     def __init__(self) -> None:
         """Initialize all buckets to zero."""
+        #: Number of durations in each bucket, not cumulative.
         self.counts = [0 for _ in (*BUCKETS, None)]
+        #: Sum of all durations in seconds.
         self.total: float = 0
 
     def observe(self, seconds: float) -> None:
@@ -42,20 +44,24 @@
 
 
 class Counters:
-    """Counters by name, and histograms by name and service."""
+    """Event counters by name, and duration histograms by name and service."""
 
     def __init__(self) -> None:
         """Initialize without counters or histograms."""
+        #: Number of events by name.
         self.totals: dict[str, int] = {}
         #: Keyed by name and service.
         self.histograms: dict[tuple[str, str], Histogram] = {}
 
     def count(self, name: str) -> None:
-        """Increment the counter of this name."""
+        """Increment the counter with a name, creating it if needed."""
         self.totals[name] = self.totals.get(name, 0) + 1
 
     def observe(self, name: str, service: str, seconds: float) -> None:
-        """Add a duration to the histogram of this name and service."""
+        """Add a duration to the histogram with a name and service.
+
+        The histogram is created if needed.
+        """
         key = (name, service)
         histogram = self.histograms.get(key)
         if histogram is None:
--- a/packages/keelgap/src/keelgap/packets/decay.py
+++ b/packages/keelgap/src/keelgap/packets/decay.py
@@ -6,7 +6,7 @@
 
 
 class DecayingCounter:
-    """Count events with weights that decay by e per time constant."""
+    """Weighted count of events that decays by e per time constant."""
 
     __slots__ = ('value_at_update', 'updated_at', 'started_at', 'time_constant')
 
@@ -18,18 +18,18 @@
         self.started_at = now
 
     def add(self, now: float, weight: float = 1) -> None:
-        """Add an event that counts ``weight`` now."""
+        """Add an event at time ``now`` in seconds, with its weight."""
         self.value_at_update = self.read(now) + weight
         self.updated_at = now
 
     def read(self, now: float) -> float:
-        """Return the decayed count."""
+        """Return the sum of the weights, decayed until time ``now``."""
         return self.value_at_update * exp(
             (self.updated_at - now) / self.time_constant
         )
 
     def compute_rate(self, now: float, min_seconds: float) -> float:
-        """Return events per second.
+        """Return the weight of events per second, as a decaying mean.
 
         The divisor is the decay-weighted observation time, because a new
         counter has observed less than one time constant.  It is at least
--- a/packages/keelgap/src/keelgap/packets/directory.py
+++ b/packages/keelgap/src/keelgap/packets/directory.py
@@ -41,7 +41,7 @@
 
 
 class FlowDirectory(NamedTuple):
-    """Placement of the directory of one service."""
+    """Hosts on which the flow directory of one service is placed."""
 
     #: Revision of the catalog from which the placement was computed.
     revision: int
@@ -58,7 +58,7 @@
     hosts: Iterable[str],
     max_without_directory: int,
 ) -> FlowDirectory:
-    """Compute the placement of a service's directory on its hosts.
+    """Choose the directory nodes of a service among the hosts of its agents.
 
     Services with up to ``max_without_directory`` hosts get NO_DIRECTORY.
     """
@@ -71,6 +71,7 @@
 
 
 def _choose_replicas(hosts: tuple[str, ...], shard: int) -> Nodes:
+    """Return the hosts of a shard's nodes by rendezvous hashing."""
     ranked = sorted(
         hosts, key=lambda host: xxh3_64_intdigest(host.encode(), shard)
     )
@@ -78,7 +79,10 @@
 
 
 def choose_nodes(directory: FlowDirectory, key: bytes) -> Nodes:
-    """Return the hosts of the directory nodes for a flow key."""
+    """Return the hosts of the directory nodes for a flow key.
+
+    There are none if the service has no directory.
+    """
     shards = directory.shards
     if not shards:
         return ()
--- a/packages/keelgap/src/keelgap/packets/directory_messages.py
+++ b/packages/keelgap/src/keelgap/packets/directory_messages.py
@@ -45,37 +45,41 @@
 
 
 class Registration(NamedTuple):
-    """Flows that an agent passed to its upstream, for one directory node.
+    """Keys of flows that an agent registers with a directory node.
 
-    Keys are numbered consecutively within a stream, so the node detects lost
-    registrations.  A new stream starts with all flows that the agent holds.
+    These are the flows that it passed to its upstream.  Keys are numbered
+    consecutively within a stream, so the node detects lost registrations.  A
+    new stream starts with all flows that the agent holds.
     """
 
     #: Identifies the start of the agent process.
     boot: int
     #: Number of the stream, increasing within a boot.
     stream: int
-    #: Number of the first of these keys within the stream.
+    #: Number of the first key in ``keys`` within the stream.
     sequence: int
     #: Number that follows the last key sent in the stream so far.
     end: int
-    #: Tag of the id of the upstream.
+    #: Tag of the upstream's current start, from a notice; 0 if unknown.
     upstream_tag: int
     #: Whether the agent knows every flow that its upstream holds.
     is_complete: bool
+    #: Flow keys.
     keys: tuple[bytes, ...]
 
 
 class LookupRequest(NamedTuple):
-    """Query from a balancer to a directory node."""
+    """Query from a balancer to a directory node: which agents hold flows."""
 
-    #: Digest of the hosts that the node covers, as known to the balancer.
+    #: Digest of the hosts whose registrations are complete at the node, as
+    #: known to the balancer; the node sends the hosts if its own differs.
     digest: int
+    #: Keys of the flows in question.
     keys: tuple[bytes, ...]
 
 
 class LookupResponse(NamedTuple):
-    """Response of a directory node to a balancer."""
+    """Response of a directory node to a LookupRequest of a balancer."""
 
     #: Digest of the hosts whose registrations are complete at the node.
     digest: int
@@ -84,24 +88,30 @@
 
 
 class Coverage(NamedTuple):
-    """One part of the hosts whose registrations are complete at a node."""
+    """Some of the hosts whose registrations are complete at a directory node.
+
+    The node sends all of them in one or more parts, one per datagram.
+    """
 
     #: Digest of the hosts of all parts.
     digest: int
+    #: Number of this part, counted from 0.
     part: int
+    #: Total number of parts.
     parts: int
+    #: Hosts of this part.
     hosts: tuple[str, ...]
 
 
 def split_keys(keys: Iterable[bytes]) -> Iterator[tuple[bytes, ...]]:
-    """Split keys into groups that fit into one datagram each."""
+    """Split flow keys into groups that fit into one datagram each."""
     key_list = tuple(keys)
     for offset in range(0, len(key_list), MAX_KEYS_PER_MESSAGE):
         yield key_list[offset : offset + MAX_KEYS_PER_MESSAGE]
 
 
 def pack_registration(registration: Registration) -> bytes:
-    """Encode a registration."""
+    """Encode a registration as the content of an envelope."""
     *head, keys = registration
     return _REGISTRATION.pack(*head) + b''.join(keys)
 
@@ -114,7 +124,7 @@
 
 
 def pack_lookup_request(request: LookupRequest) -> bytes:
-    """Encode a lookup request."""
+    """Encode a lookup request as the content of an envelope."""
     return _DIGEST.pack(request.digest) + b''.join(request.keys)
 
 
@@ -126,7 +136,10 @@
 
 
 def pack_lookup_response(response: LookupResponse) -> bytes:
-    """Encode a lookup response as one record per key and host."""
+    """Encode a lookup response with one record per key and host.
+
+    A key without hosts gets one record with the host 0.0.0.0.
+    """
     rows = [
         key + host
         for key, hosts in response.rows
@@ -148,7 +161,10 @@
 
 
 def pack_coverage(hosts: Iterable[str]) -> tuple[bytes, ...]:
-    """Encode the covered hosts as the contents of one or more datagrams."""
+    """Encode hosts as Coverage parts, one for each datagram.
+
+    Without hosts there is one empty part.
+    """
     host_list = sorted(hosts)
     digest = digest_hosts(host_list)
     offsets = range(0, max(len(host_list), 1), MAX_HOSTS)
@@ -160,7 +176,7 @@
 
 
 def unpack_coverage(content: bytes) -> Coverage:
-    """Decode one part of the hosts; raise MalformedEnvelope if invalid."""
+    """Decode one Coverage part; raise MalformedEnvelope if invalid."""
     head = unpack_header(_COVERAGE, content)
     hosts = unpack_hosts(content[_COVERAGE.size :])
     return Coverage._make((*head, hosts))
--- a/packages/keelgap/src/keelgap/packets/encoding.py
+++ b/packages/keelgap/src/keelgap/packets/encoding.py
@@ -15,11 +15,15 @@
     'unpack_hosts',
 )
 
+#: Octets of an encoded IPv4 address.
 HOST_LENGTH: Final = 4
 
 
 def unpack_header(layout: struct.Struct, content: bytes) -> tuple[Any, ...]:
-    """Unpack the leading fields; raise MalformedEnvelope if too short."""
+    """Unpack the fields of a layout from the start of a message.
+
+    Raises MalformedEnvelope if the message is too short.
+    """
     try:
         return layout.unpack_from(content)
     except struct.error as error:
@@ -37,7 +41,10 @@
 
 
 def split_records(octets: bytes, length: int) -> tuple[bytes, ...]:
-    """Split into records; raise MalformedEnvelope if octets are left over."""
+    """Split octets into records of a length.
+
+    Raises MalformedEnvelope if octets are left over.
+    """
     if len(octets) % length:
         raise MalformedEnvelope(len(octets))
     return tuple(
--- a/packages/keelgap/src/keelgap/packets/envelopes.py
+++ b/packages/keelgap/src/keelgap/packets/envelopes.py
@@ -78,12 +78,14 @@
     #: Balancer to balancer: the state and the peers known to the sender.
     GOSSIP = 8
     #: Balancer to agent: requests a single load report; the content is an
-    #: UpstreamNotice.
+    #: UpstreamNotice.  Agent to balancer: requests a notice; the content is
+    #: empty.
     ASK = 9
     #: Agent to directory node: registers flows; the content is a
     #: Registration.
     REGISTER = 10
-    #: Directory node to agent: requests a new stream of registrations.
+    #: Directory node to agent: requests a new stream of registrations; the
+    #: content is empty.
     RESYNC = 11
     #: Balancer to directory node: the content is a LookupRequest.
     LOOKUP = 12
@@ -111,9 +113,9 @@
 
 
 class CallerWait(NamedTuple):
-    """How long the caller of a new flow has waited and will still wait."""
+    """How long the caller of a new flow has waited, and may wait further."""
 
-    #: Milliseconds since its first attempt at the request, if known.
+    #: Milliseconds since its first attempt at the request; 0 if unknown.
     age_ms: int
     #: Milliseconds until it gives up, if this is its first attempt.
     max_remaining_ms: int
@@ -127,8 +129,9 @@
 
 
 class Envelope(NamedTuple):
-    """A datagram between balancers and agents, without the sender's stamp."""
+    """A datagram between balancers and agents, without the sender's Stamp."""
 
+    #: One of EnvelopeKind.
     kind: int
     #: Number of agents asked before this one.  In HELLO and ASK: the format
     #: of reports that the sender reads.
@@ -146,6 +149,7 @@
     left_ms: int
     #: Tag of the service for which the envelope is meant.
     service_tag: int
+    #: Packet, flow key or message, depending on the kind.
     content: bytes
     #: Set for new flows only.
     wait: CallerWait = UNKNOWN_WAIT
@@ -190,12 +194,15 @@
 
 
 def compute_service_tag(service: str) -> int:
-    """Return the 32-bit tag of a service name."""
+    """Return the CRC-32 of a service name, which envelopes carry."""
     return crc32(service.encode())
 
 
 def pack_envelope(envelope: Envelope, stamp: Stamp) -> bytes:
-    """Encode an envelope and its sender's stamp, clamping field values."""
+    """Encode an envelope and the sender's stamp as a datagram.
+
+    Values that exceed the range of their field are clamped.
+    """
     header = _HEADER.pack(
         envelope.kind,
         min(envelope.hop, _MAX_UINT8),
@@ -213,7 +220,10 @@
 
 
 def unpack_envelope(datagram: bytes) -> tuple[Envelope, Stamp]:
-    """Decode a datagram; raise MalformedEnvelope if invalid."""
+    """Decode a datagram into an envelope and the sender's stamp.
+
+    Raises MalformedEnvelope if it is too short or of an unknown kind.
+    """
     if len(datagram) < HEADER_LENGTH or datagram[0] not in _KINDS:
         raise MalformedEnvelope(len(datagram))
     *header, latest_change, may_lack_entries = _HEADER.unpack_from(datagram)
@@ -231,7 +241,7 @@
 
 
 def pack_report(report: LoadReport, report_format: int = 0) -> bytes:
-    """Encode a report, clamping field values.
+    """Encode a load report, clamping field values.
 
     Format 0, which earlier releases read, omits ``queued`` and ``work_ms``.
     """
@@ -255,7 +265,10 @@
 
 
 def unpack_report(content: bytes) -> LoadReport:
-    """Decode a report of either format; raise MalformedEnvelope."""
+    """Decode a load report of either format.
+
+    Raises MalformedEnvelope if it has the length of neither.
+    """
     if len(content) not in {_REPORT.size, _LONG_REPORT_LENGTH}:
         raise MalformedEnvelope(len(content))
     busy, flows, answer_ms, flags = _REPORT.unpack_from(content)
--- a/packages/keelgap/src/keelgap/packets/features.py
+++ b/packages/keelgap/src/keelgap/packets/features.py
@@ -22,7 +22,7 @@
 
 @unique
 class FeatureMode(Enum):
-    """Whether a feature is enabled."""
+    """Setting of a feature; ``auto`` follows the deployment's terms."""
 
     AUTO = 'auto'
     ON = 'on'
@@ -61,7 +61,7 @@
 
 
 class Features(NamedTuple):
-    """Features that are enabled in this process."""
+    """Features that are enabled in this process; see FeatureSettings."""
 
     ejection: bool = False
     scheduling: bool = False
@@ -77,20 +77,24 @@
     settings: FeatureSettings,
     terms: AbstractSet[DeploymentTerm],
 ) -> Features:
-    """Return the enabled features; ``auto`` takes the default of the terms."""
+    """Return which features are enabled by the settings.
+
+    With ``auto``, a feature is enabled if the terms contain its condition.
+    """
     has_health = DeploymentTerm.UPSTREAM_HEALTH in terms
     return Features(
-        ejection=_resolve(settings.ejection, default=has_health),
-        scheduling=_resolve(settings.scheduling, default=has_health),
-        placement=_resolve(settings.placement, default=has_health),
-        admission=_resolve(
+        ejection=_is_enabled(settings.ejection, default=has_health),
+        scheduling=_is_enabled(settings.scheduling, default=has_health),
+        placement=_is_enabled(settings.placement, default=has_health),
+        admission=_is_enabled(
             settings.admission,
             default=DeploymentTerm.OVERLOAD in terms,
         ),
     )
 
 
-def _resolve(mode: FeatureMode, *, default: bool) -> bool:
+def _is_enabled(mode: FeatureMode, *, default: bool) -> bool:
+    """Return whether a feature is enabled; ``default`` applies to AUTO."""
     if mode is FeatureMode.AUTO:
         return default
     return mode is FeatureMode.ON
--- a/packages/keelgap/src/keelgap/packets/formats.py
+++ b/packages/keelgap/src/keelgap/packets/formats.py
@@ -40,6 +40,7 @@
     All functions expect a datagram of at least ``header_length`` octets.
     """
 
+    #: Octets of the header.
     header_length: int
     #: Whether the length of the datagram matches its header.
     has_valid_length: Callable[[bytes], bool]
@@ -70,7 +71,7 @@
     with_mark: Callable[[bytes, int], bytes]
     #: Mark of a bounced packet.
     mark: Callable[[bytes], int]
-    #: The original of a bounced packet.
+    #: A bounced packet without its mark and its BOUNCED flag.
     without_bounce: Callable[[bytes], bytes]
     #: Packet that resets the flow, addressed to the caller of this packet.
     make_reset: Callable[[bytes], bytes]
--- a/packages/keelgap/src/keelgap/packets/generational_cache.py
+++ b/packages/keelgap/src/keelgap/packets/generational_cache.py
@@ -20,7 +20,9 @@
         """Initialize an empty cache; the period is in seconds."""
         self.period = period
         self.max_per_generation = max_per_generation
+        #: Values put or read since the latest rotation.
         self.young: dict[bytes, ValueT] = {}
+        #: Values of the rotation before that, not read since.
         self.old: dict[bytes, ValueT] = {}
         self.rotate_at = now + period
 
@@ -32,7 +34,7 @@
         return len(self.young) + len(self.old)
 
     def get(self, key: bytes) -> ValueT | None:
-        """Return a value or None, and keep the value young."""
+        """Return the value of a key or None; a read value expires later."""
         found = self.young.get(key)
         if found is None:
             found = self.old.pop(key, None)
@@ -41,22 +43,23 @@
         return found
 
     def put(self, key: bytes, value: ValueT) -> None:
-        """Store a value, replacing an earlier one."""
+        """Store a value; when the cache is full, evict the old generation."""
         self.young[key] = value
         if len(self.young) >= self.max_per_generation:
             self._rotate()
 
     def forget(self, key: bytes) -> None:
-        """Remove a value if present."""
+        """Remove the value of a key if present."""
         self.young.pop(key, None)
         self.old.pop(key, None)
 
     def expire(self, now: float) -> None:
-        """Evict the old generation when the period is over."""
+        """Evict the old generation if the current period is over."""
         if now >= self.rotate_at:
             self.rotate_at = now + self.period
             self._rotate()
 
     def _rotate(self) -> None:
+        """Evict the old generation and start a new young one."""
         self.old = self.young
         self.young = {}
--- a/packages/keelgap/src/keelgap/packets/metrics.py
+++ b/packages/keelgap/src/keelgap/packets/metrics.py
@@ -28,7 +28,7 @@
 
 
 class _Renderer:
-    """Imports prometheus_client in a thread, and renders the metrics."""
+    """Import prometheus_client in a thread, and render the metrics page."""
 
     def __init__(self, counters: Counters, gauges: Gauges) -> None:
         self.counters = counters
@@ -37,10 +37,13 @@
         self.prometheus: Any = None
 
     def render(self, query: str) -> Page:
-        """Return the metrics page, or status 503 during the import."""
+        """Return the metrics page, or status 503 while the import is pending.
+
+        The first call starts the import.
+        """
         if self.prometheus is None:
             if self.thread is None:
-                self.thread = _start_thread(self._load)
+                self.thread = _start_thread(self._import_prometheus)
             return _LOADING_PAGE
         prometheus = self.prometheus
         registry = prometheus.CollectorRegistry()
@@ -64,6 +67,7 @@
         yield from self._collect_histograms(core)
 
     def _collect_histograms(self, core: Any) -> Iterator['Metric']:
+        """Yield one family per histogram name, labelled by service."""
         families: dict[str, Any] = {}
         for (name, service), histogram in self.counters.histograms.items():
             family = families.get(name)
@@ -76,18 +80,19 @@
                 families[name] = family
             family.add_metric(
                 [service],
-                list(_accumulate(histogram.counts)),
+                list(_list_cumulative_buckets(histogram.counts)),
                 histogram.total,
             )
         yield from families.values()
 
-    def _load(self) -> None:
+    def _import_prometheus(self) -> None:
         import prometheus_client.core  # noqa: PLC0415, WPS433, WPS301
 
         self.prometheus = prometheus_client
 
 
 def _start_thread(call: Callable[[], None]) -> 'Thread':
+    """Run a function in a daemon thread."""
     from threading import Thread  # noqa: PLC0415, WPS433
 
     thread = Thread(target=call, daemon=True)
@@ -95,7 +100,8 @@
     return thread
 
 
-def _accumulate(counts: list[int]) -> Iterator[tuple[str, float]]:
+def _list_cumulative_buckets(counts: list[int]) -> Iterator[tuple[str, float]]:
+    """Yield the bound and cumulative count of each histogram bucket."""
     total = 0
     bounds = (*map(str, BUCKETS), '+Inf')
     for bound, count in zip(bounds, counts, strict=True):
@@ -107,5 +113,5 @@
     counters: Counters,
     gauges: Gauges,
 ) -> Callable[[str], Page]:
-    """Return the handler of the metrics page of a process."""
+    """Return the function that renders the metrics page of a process."""
     return _Renderer(counters, gauges).render
--- a/packages/keelgap/src/keelgap/packets/notices.py
+++ b/packages/keelgap/src/keelgap/packets/notices.py
@@ -23,7 +23,7 @@
 
 
 class UpstreamNotice(NamedTuple):
-    """What the catalog of a balancer contains about an agent's upstream."""
+    """What a balancer knows about an agent's upstream and service."""
 
     #: Revision of the catalog; the later of two notices wins.
     revision: int
@@ -40,17 +40,18 @@
     is_evacuated: bool = False
     #: Milliseconds until the upstream is warm; 0 if it is.
     warm_up_ms: int = 0
-    #: New flows per second that it accepts until then; 0 if no limit is set.
+    #: New flows per second that the upstream accepts until it is warm; 0 if no
+    #: limit is set.
     warm_up_flow_rate: float = 0
 
     @property
     def directory(self) -> FlowDirectory:
-        """Return the placement of the service's directory."""
+        """Return the directory placement that the notice contains."""
         return FlowDirectory(self.revision, self.shards)
 
 
 def pack_notice(notice: UpstreamNotice) -> bytes:
-    """Encode a notice."""
+    """Encode a notice as the content of HELLO and ASK envelopes."""
     header = _NOTICE.pack(
         notice.revision,
         notice.upstream_tag,
--- a/packages/keelgap/src/keelgap/packets/process.py
+++ b/packages/keelgap/src/keelgap/packets/process.py
@@ -38,12 +38,16 @@
 
 
 class _Decision(Protocol):
+    """A decision on a flow, as the balancer and the agent record it."""
+
+    #: Name of the counter and of the log event.
     name: str
+    #: Fields of the log line; None if the decision is only counted.
     fields: dict[str, Any] | None
 
 
 class DecisionLog:
-    """Count decisions, and log those that have fields."""
+    """Counts decisions on flows, and logs those that have fields."""
 
     def __init__(self, lines: JsonLog, counters: Counters) -> None:
         """Initialize with the log and the counters of the process."""
@@ -96,7 +100,10 @@
         """Start a graceful shutdown."""
 
     def reload(self, settings: Any) -> tuple[str, ...]:
-        """Apply new settings; return the names of those in force now."""
+        """Apply the settings that need no restart.
+
+        Returns their names, as section.name.
+        """
 
 
 _SettingsT = TypeVar('_SettingsT', bound=tuple[Any, ...])
@@ -116,9 +123,10 @@
     open_sockets: Callable[[_SettingsT, ExitStack], _SocketsT],
     load_factory: Callable[[], ServerFactory[_SettingsT, _SocketsT]],
 ) -> int:
-    """Run a server until it stops the event loop; return the exit status.
+    """Run a balancer or agent until it stops; return the exit status.
 
-    Sockets are opened before the server's code is imported.  Packets that
+    The settings file is ``path``, or that of SETTINGS_VARIABLE.  Sockets are
+    opened before ``load_factory`` imports the server's code.  Packets that
     arrive during the import queue in the sockets, so that their senders need
     not retransmit them.
     """
@@ -127,13 +135,13 @@
     try:
         settings = load_settings(path, settings_type)
     except KeelgapError as error:
-        return _exit_on(error)
+        return _report_startup_error(error)
     _make_stdout_nonblocking()
     with ExitStack() as stack:
         try:
             sockets = open_sockets(settings, stack)
         except KeelgapError as error:
-            return _exit_on(error)
+            return _report_startup_error(error)
         process = PacketProcess(program, settings[0].name, stack)
         server = load_factory()(settings, sockets, process, stack)
         watcher = SettingsWatcher(path, settings, process.lines, server.reload)
@@ -160,11 +168,12 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-def _exit_on(error: KeelgapError) -> int:
+def _report_startup_error(error: KeelgapError) -> int:
+    """Print the error to standard error; return the exit status."""
     print(f'{error.code}: {error}', file=sys.stderr)  # noqa: WPS421
     return _EXIT_BAD_SETTINGS
 
 
 def _make_stdout_nonblocking() -> None:
-    """Make writes to a full pipe fail instead of block the process."""
+    """Make writes to a full pipe fail instead of blocking the process."""
     os.set_blocking(sys.stdout.fileno(), False)  # noqa: WPS425
--- a/packages/keelgap/src/keelgap/packets/refusals.py
+++ b/packages/keelgap/src/keelgap/packets/refusals.py
@@ -28,18 +28,18 @@
 
 
 class RefusedCaller(NamedTuple):
-    """A caller that may retry immediately."""
+    """A caller whose request was just refused and who may retry at once."""
 
     #: Key of the flow that was refused.
     key: bytes
-    #: Milliseconds since its first attempt at the request.
+    #: Milliseconds since the caller's first attempt at the request.
     age_ms: int
     #: Number of times the request was refused.
     refusals: int
 
 
 def pack_refused(callers: Iterable[RefusedCaller]) -> bytes:
-    """Encode refused callers, clamping field values."""
+    """Encode the content of a REFUSED envelope, clamping field values."""
     return b''.join(
         _ROW.pack(
             caller.key,
@@ -51,7 +51,10 @@
 
 
 def unpack_refused(content: bytes) -> tuple[RefusedCaller, ...]:
-    """Decode refused callers; raise MalformedEnvelope if invalid."""
+    """Decode the content of a REFUSED envelope.
+
+    Raises MalformedEnvelope if its length is invalid.
+    """
     if (
         len(content) % _ROW.size
         or len(content) > MAX_REFUSED_CALLERS * _ROW.size
--- a/packages/keelgap/src/keelgap/packets/reload.py
+++ b/packages/keelgap/src/keelgap/packets/reload.py
@@ -19,7 +19,10 @@
 
 
 class SettingsWatcher(Generic[_SettingsT]):
-    """Reload settings; an invalid file leaves those in force unchanged."""
+    """Reload the settings file on request and when it changes.
+
+    An invalid file leaves the settings in force unchanged.
+    """
 
     def __init__(
         self,
@@ -28,7 +31,11 @@
         lines: JsonLog,
         on_change: Callable[[_SettingsT], tuple[str, ...]],
     ) -> None:
-        """Call on_change with new settings; it returns the applied names."""
+        """Initialize with the settings in force.
+
+        ``on_change`` is called with changed settings; it returns the names of
+        those that it applied without a restart.
+        """
         self.path = path
         self.settings = settings
         self.lines = lines
@@ -36,7 +43,7 @@
         self.file_version = self._stat_file()
 
     def start(self, loop: EventLoop) -> None:
-        """Check the file periodically."""
+        """Start to check the file periodically."""
         loop.call_every(_POLL_SECONDS, self.check)
 
     def check(self) -> None:
@@ -47,13 +54,16 @@
             self.reload()
 
     def reload(self) -> None:
-        """Load the file, or keep the settings in force if it is invalid."""
+        """Load the file, apply changed settings and log the result.
+
+        The settings in force are kept if the file is invalid.
+        """
         try:
             new_settings = load_settings(self.path, type(self.settings))
         except KeelgapError as error:
             self.lines.log('reload_refused', code=error.code, error=str(error))
             return
-        changed = _list_changes(self.settings, new_settings)
+        changed = _list_changed_settings(self.settings, new_settings)
         self.settings = new_settings
         applied = self.on_change(new_settings) if changed else ()
         self.lines.log(
@@ -63,6 +73,7 @@
         )
 
     def _stat_file(self) -> tuple[int, int, int]:
+        """Return the time, size and inode of the file; zeros on error."""
         try:
             status = os.stat(self.path)
         except OSError:
@@ -70,7 +81,7 @@
         return (status.st_mtime_ns, status.st_size, status.st_ino)
 
 
-def _list_changes(
+def _list_changed_settings(
     before: tuple[Any, ...],
     after: tuple[Any, ...],
 ) -> list[str]:
--- a/packages/keelgap/src/keelgap/packets/retransmission.py
+++ b/packages/keelgap/src/keelgap/packets/retransmission.py
@@ -13,7 +13,10 @@
 
 
 def estimate_open_wait(retransmissions: int) -> float:
-    """Return seconds since the first packet, given the retransmissions."""
+    """Return the seconds for which a caller has tried to open a flow.
+
+    They are estimated from the number of retransmissions of its first packet.
+    """
     return _RETRANSMIT_SECONDS[
         min(retransmissions, len(_RETRANSMIT_SECONDS) - 1)
     ]
--- a/packages/keelgap/src/keelgap/packets/served_hosts.py
+++ b/packages/keelgap/src/keelgap/packets/served_hosts.py
@@ -36,14 +36,14 @@
 
 
 class ServedHost(NamedTuple):
-    """A host that gets flows of a service from the sender, or did recently."""
+    """A host to which a balancer sends flows of a service, or did recently."""
 
     host: str
     service_tag: int
 
 
 class ServedHostsRequest(NamedTuple):
-    """Request of a balancer that just started."""
+    """Request of a balancer that just started for the hosts others list."""
 
     #: Revision of the first catalog of the sender.
     first_revision: int
@@ -52,17 +52,17 @@
 
 
 def digest_served(rows: Iterable[ServedHost]) -> int:
-    """Return a digest of the hosts that does not depend on their order."""
+    """Return a digest of hosts and services, independent of their order."""
     return xxh3_64_intdigest(pack_served(sorted(rows)))
 
 
 def pack_served_request(request: ServedHostsRequest) -> bytes:
-    """Encode a request."""
+    """Encode a ServedHostsRequest."""
     return _REQUEST.pack(*request)
 
 
 def unpack_served_request(content: bytes) -> ServedHostsRequest:
-    """Decode a request; raise MalformedEnvelope if invalid."""
+    """Decode a ServedHostsRequest; raise MalformedEnvelope if too short."""
     return ServedHostsRequest._make(unpack_header(_REQUEST, content))
 
 
--- a/packages/keelgap/src/keelgap/packets/sockets.py
+++ b/packages/keelgap/src/keelgap/packets/sockets.py
@@ -26,9 +26,10 @@
     peer_address: Address,
     stack: ExitStack,
 ) -> PacketSockets:
-    """Bind both sockets; the stack closes them.
+    """Bind the traffic and peer sockets; the stack closes them.
 
-    Raises PortInUse with the name of the setting if a port is taken.
+    ``traffic_setting`` is the name of the setting with the traffic address.
+    Raises PortInUse with the name of a setting if its port is taken.
     """
     traffic = parse_address(traffic_address)
     sockets = PacketSockets(
--- a/packages/keelgap/src/keelgap/runtime/http.py
+++ b/packages/keelgap/src/keelgap/runtime/http.py
@@ -40,13 +40,13 @@
 
 
 class MalformedResponse(KeelgapError):
-    """The response is invalid or uses an unsupported feature."""
+    """The HTTP response is invalid or uses an unsupported feature."""
 
     code = 'malformed_answer'
 
 
 class HttpResponse(NamedTuple):
-    """Result of a request."""
+    """Response to a request, or the reason why it failed."""
 
     #: Status code, or 0 if there was no complete response.
     status: int
@@ -56,6 +56,8 @@
 
 
 class _ParsedResponse(NamedTuple):
+    """A complete response, and whether the connection ends with it."""
+
     response: HttpResponse
     #: Whether the server closes the connection after the response.
     closes: bool
@@ -68,7 +70,7 @@
     received: bytes,
     max_body_length: int = MAX_BODY_LENGTH,
 ) -> _ParsedResponse | None:
-    """Parse a response; return None while it is incomplete.
+    """Parse the octets received so far; return None if incomplete.
 
     Raises MalformedResponse if the response is invalid or its body exceeds
     ``max_body_length`` octets.
@@ -96,6 +98,7 @@
 
 
 def _parse_status(line: bytes) -> int:
+    """Return the status code; raise MalformedResponse if invalid."""
     version, _, rest = line.partition(b' ')
     status = rest[:3]
     if not version.startswith(b'HTTP/1.') or not status.isdigit():
@@ -104,6 +107,7 @@
 
 
 def _parse_headers(lines: list[bytes]) -> dict[bytes, bytes]:
+    """Return headers by lower-case name; raise MalformedResponse."""
     headers = {}
     for line in lines:
         name, colon, text = line.partition(b':')
@@ -134,7 +138,11 @@
         self.calls = 0
 
     def get(self, target: str, timeout: float, on_response: OnResponse) -> None:
-        """Send a GET request; a pending one is dropped without a callback."""
+        """Send a GET request; call back with the response or the failure.
+
+        The timeout is in seconds.  A pending request is dropped without a
+        callback.
+        """
         if self.on_response is not None:
             self.close()
         self.calls += 1
@@ -146,10 +154,10 @@
             self.sock = self._connect()
         header = f'GET {target} HTTP/1.1\r\nHost: {self.address}\r\n\r\n'
         self.request = header.encode('ascii')
-        self.loop.add_writer(self.sock, self._write)
+        self.loop.add_writer(self.sock, self._send_request)
 
     def close(self) -> None:
-        """Close the connection and drop a pending request."""
+        """Close the connection; drop a pending request without a callback."""
         self.on_response = None
         sock = self.sock
         self.sock = None
@@ -158,15 +166,17 @@
             sock.close()
 
     def _connect(self) -> socket.socket:
+        """Return a socket that connects in the background."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)  # noqa: WPS425
-        _enable_keepalive(sock)
+        _set_tcp_options(sock)
         with suppress(OSError):
             # A refused connection is reported by the first write.
             sock.connect(self.address)
         return sock
 
-    def _write(self) -> None:
+    def _send_request(self) -> None:
+        """Send what the socket takes; then wait for the response."""
         sock = self.sock
         if sock is None:
             return
@@ -175,13 +185,14 @@
         except BlockingIOError:
             return
         except OSError as error:
-            self._fail(type(error).__name__)
+            self._fail_request(type(error).__name__)
             return
         self.request = self.request[sent:]
         if not self.request:
-            self.loop.add_reader(sock, self._read)
+            self.loop.add_reader(sock, self._receive_response)
 
-    def _read(self) -> None:
+    def _receive_response(self) -> None:
+        """Read from the socket, and deliver the response once complete."""
         sock = self.sock
         if sock is None:
             return
@@ -190,21 +201,22 @@
         except BlockingIOError:
             return
         except OSError as error:
-            self._fail(type(error).__name__)
+            self._fail_request(type(error).__name__)
             return
         if not chunk:
-            self._fail('closed')
+            self._fail_request('closed')
             return
         self.received += chunk
         try:
             parsed = parse_response(self.received, self.max_body_length)
         except MalformedResponse as error:
-            self._fail(error.code)
+            self._fail_request(error.code)
             return
         if parsed is not None:
-            self._finish(parsed)
+            self._deliver_response(parsed)
 
-    def _finish(self, parsed: _ParsedResponse) -> None:
+    def _deliver_response(self, parsed: _ParsedResponse) -> None:
+        """Call back with the response; close if the server does."""
         on_response = self.on_response
         self.on_response = None
         self.received = b''
@@ -213,18 +225,21 @@
         if on_response is not None:
             on_response(parsed.response)
 
-    def _fail(self, reason: str) -> None:
+    def _fail_request(self, reason: str) -> None:
+        """Close the connection and call back with the reason."""
         on_response = self.on_response
         self.close()
         if on_response is not None:
             on_response(HttpResponse(0, b'', reason))
 
     def _time_out(self, call: int) -> None:
+        """Fail the request with this number if it is still pending."""
         if call == self.calls and self.on_response is not None:
-            self._fail('timeout')
+            self._fail_request('timeout')
 
 
-def _enable_keepalive(sock: socket.socket) -> None:
+def _set_tcp_options(sock: socket.socket) -> None:
+    """Enable keepalive and no delay; limit the time without acknowledgment."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     options = (
         (socket.TCP_KEEPIDLE, _PROBE_SECONDS),
--- a/packages/keelgap/src/keelgap/runtime/json_log.py
+++ b/packages/keelgap/src/keelgap/runtime/json_log.py
@@ -32,7 +32,10 @@
 
 
 def write_to_standard_output(octets: bytes) -> int:
-    """Write without blocking; return the number of octets written."""
+    """Write to standard output without blocking.
+
+    Returns the number of octets written, 0 if the pipe is full.
+    """
     try:
         return os.write(_STDOUT_FD, octets)
     except BlockingIOError:
@@ -40,7 +43,7 @@
 
 
 class JsonLog:
-    """Log of one process."""
+    """Queue of JSON log lines of one process, limited in size and rate."""
 
     def __init__(
         self,
@@ -55,10 +58,13 @@
         self.clock = clock
         self.write = write
         self.queued_lines: deque[bytes] = deque()
+        #: Rest of a chunk that the pipe took in part.
         self.unwritten = b''
         #: Number of lines dropped since the last report, by event.
         self.dropped: dict[str, int] = {}
+        #: Second to which the allowance belongs.
         self.current_second = 0
+        #: Decisions that may still be logged in the current second.
         self.allowance = LINES_PER_SECOND
 
     def log_decision(self, event: str, **fields: object) -> None:
@@ -69,14 +75,14 @@
             self.allowance = LINES_PER_SECOND
         self.allowance -= 1
         if self.allowance < 0:
-            self._drop(event)
+            self._count_dropped_line(event)
             return
         self.log(event, **fields)
 
     def log(self, event: str, **fields: object) -> None:
-        """Log a rare event, for example a start, a stop or a state change."""
+        """Log an event without a rate limit, unless the queue is full."""
         if len(self.queued_lines) >= MAX_QUEUED_LINES:
-            self._drop(event)
+            self._count_dropped_line(event)
             return
         line = {
             'time': round(time.time(), 3),
@@ -90,7 +96,10 @@
         self.queued_lines.append(f'{encoded}\n'.encode())
 
     def flush(self) -> None:
-        """Write queued lines until the pipe is full."""
+        """Write queued lines until none is left or the pipe is full.
+
+        Dropped lines are reported by a line of their own.
+        """
         if self.dropped and len(self.queued_lines) < MAX_QUEUED_LINES:
             dropped = self.dropped
             self.dropped = {}
@@ -108,10 +117,11 @@
             if self.unwritten:
                 return
 
-    def _drop(self, event: str) -> None:
+    def _count_dropped_line(self, event: str) -> None:
         self.dropped[event] = self.dropped.get(event, 0) + 1
 
     def _take_chunk(self) -> bytes:
+        """Remove and return as many queued lines as one write may have."""
         lines = [self.queued_lines.popleft()]
         length = len(lines[0])
         while (
--- a/packages/keelgap/src/keelgap/runtime/loop.py
+++ b/packages/keelgap/src/keelgap/runtime/loop.py
@@ -21,13 +21,15 @@
 class Timer(NamedTuple):
     """A scheduled callback; ordered by due time, then by creation."""
 
+    #: Due time in monotonic seconds.
     due: float
+    #: Number in the order of creation.
     number: int
     callback: Callable[[], None]
 
 
 class EventLoop:
-    """Call back when sockets are ready, timers are due or signals arrive.
+    """Runs callbacks of ready sockets, due timers and received signals.
 
     The clock returns monotonic seconds; tests inject their own.
     """
@@ -37,7 +39,7 @@
         stack: ExitStack,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Create the selector; the stack closes it."""
+        """Create the selector for sockets; the stack closes it."""
         self.clock = clock
         self.selector = selectors.DefaultSelector()
         stack.callback(self.selector.close)
@@ -51,7 +53,7 @@
         sock: socket.socket,
         callback: Callable[[], None],
     ) -> None:
-        """Call back whenever the socket is readable, and not when writable."""
+        """Call back while a socket is readable; replaces ``add_writer``."""
         self._register(sock, selectors.EVENT_READ, callback)
 
     def add_writer(
@@ -59,7 +61,7 @@
         sock: socket.socket,
         callback: Callable[[], None],
     ) -> None:
-        """Call back whenever the socket is writable, and not when readable."""
+        """Call back while a socket is writable; replaces ``add_reader``."""
         self._register(sock, selectors.EVENT_WRITE, callback)
 
     def remove(self, sock: socket.socket) -> None:
@@ -73,9 +75,10 @@
         heapq.heappush(self.timers, Timer(due, next(self.sequence), callback))
 
     def call_every(self, period: float, callback: Callable[[], None]) -> None:
-        """Call back each period, in seconds, starting after one period."""
+        """Call back every ``period`` seconds, starting after one period."""
 
         def fire() -> None:
+            """Schedule the next call, then call back."""
             self.call_after(period, fire)
             callback()
 
@@ -86,7 +89,10 @@
         handlers: dict[int, Callable[[], None]],
         stack: ExitStack,
     ) -> None:
-        """Run handlers of signals in the event loop."""
+        """Install handlers by signal number, which run in the event loop.
+
+        The stack closes the sockets that wake the loop up.
+        """
         receiver, sender = socket.socketpair()
         stack.callback(receiver.close)
         stack.callback(sender.close)
@@ -100,7 +106,7 @@
         self.add_reader(receiver, lambda: self._dispatch_signals(receiver))
 
     def run(self) -> None:
-        """Run until ``stop`` is called."""
+        """Run callbacks until ``stop`` is called."""
         while not self.stopped:
             self.run_once()
 
@@ -109,18 +115,20 @@
         self.stopped = True
 
     def run_once(self) -> None:
-        """Wait for the next events or timers and run their callbacks."""
+        """Wait for the next event or timer, at most 1 s, and run callbacks."""
         for key, _ in self.selector.select(self._compute_wait()):
             key.data()
         self._run_timers()
 
     def _compute_wait(self) -> float:
+        """Return the seconds until the next timer, at most 1 s."""
         if not self.timers:
             return _MAX_WAIT_SECONDS
         wait = self.timers[0].due - self.clock()
         return min(max(wait, 0), _MAX_WAIT_SECONDS)
 
     def _run_timers(self) -> None:
+        """Run and remove all timers that are due."""
         now = self.clock()
         while self.timers and self.timers[0].due <= now:
             heapq.heappop(self.timers).callback()
@@ -131,12 +139,14 @@
         events: int,
         callback: Callable[[], None],
     ) -> None:
+        """Watch a socket for events, replacing what it was watched for."""
         if sock in self.selector.get_map():
             self.selector.modify(sock, events, callback)
         else:
             self.selector.register(sock, events, callback)
 
     def _dispatch_signals(self, receiver: socket.socket) -> None:
+        """Run the handlers of the signals read from the wake-up socket."""
         with suppress(BlockingIOError):
             for number in receiver.recv(_WAKEUP_OCTETS):
                 handler = self.signal_handlers.get(number)
--- a/packages/keelgap/src/keelgap/runtime/pages.py
+++ b/packages/keelgap/src/keelgap/runtime/pages.py
@@ -27,7 +27,7 @@
 
 
 class Page(NamedTuple):
-    """Response of a page."""
+    """HTTP response with a status, content type and body."""
 
     status: int
     content_type: str
@@ -53,7 +53,7 @@
 
 
 def make_ready_page(is_ready: bool) -> Page:  # noqa: FBT001
-    """Return the page for the readiness checks of routers."""
+    """Return the page for the routers' readiness checks: 200 or 503."""
     return _READY_PAGE if is_ready else _NOT_READY_PAGE
 
 
@@ -63,13 +63,17 @@
     pages: Pages,
     stack: ExitStack,
 ) -> None:
-    """Serve GET requests for the pages; the stack closes all connections."""
+    """Start to serve GET requests for the pages; return at once.
+
+    The stack closes the listener and all connections.  Raises PortInUse.
+    """
     listener = _listen(address)
     stack.callback(listener.close)
     connections: set[_Connection] = set()
-    stack.callback(_close_all, connections)
+    stack.callback(_close_connections, connections)
 
     def accept() -> None:
+        """Accept a connection; close it at once if there are too many."""
         with suppress(OSError):
             sock, _ = listener.accept()
             sock.setblocking(False)  # noqa: WPS425
@@ -84,6 +88,7 @@
 
 
 def _listen(address: Address) -> socket.socket:
+    """Return a listening socket that does not block; raise PortInUse."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setblocking(False)  # noqa: WPS425
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -96,13 +101,13 @@
     return listener
 
 
-def _close_all(connections: set['_Connection']) -> None:
+def _close_connections(connections: set['_Connection']) -> None:
     for connection in connections:
         connection.sock.close()
 
 
 class _Connection:
-    """Responds to requests in order until the client disconnects."""
+    """Connection of a client; responds to its requests in order."""
 
     def __init__(
         self,
@@ -119,10 +124,11 @@
         self.unsent = b''
 
     def start(self) -> None:
-        """Wait for the first request."""
-        self.loop.add_reader(self.sock, self._read)
+        """Start to read requests of the client; return at once."""
+        self.loop.add_reader(self.sock, self._receive_requests)
 
-    def _read(self) -> None:
+    def _receive_requests(self) -> None:
+        """Read from the client, and respond to each complete request."""
         try:
             chunk = self.sock.recv(_RECEIVE_OCTETS)
         except BlockingIOError:
@@ -136,11 +142,12 @@
         while HEADER_END in self.received:
             header, _, rest = self.received.partition(HEADER_END)
             self.received = rest
-            self.unsent += _render(self._choose_page(header))
+            self.unsent += _encode_response(self._choose_page(header))
         if self.unsent:
-            self._write()
+            self._send_responses()
 
     def _choose_page(self, header: bytes) -> Page:
+        """Return the page for a request line, or an error page."""
         words = header.split(b'\r\n', 1)[0].split()
         if words[:1] != [b'GET'] or len(words) < 2:
             return _METHOD_NOT_ALLOWED_PAGE
@@ -149,7 +156,8 @@
         make_page = self.pages.get(path)
         return _NOT_FOUND_PAGE if make_page is None else make_page(query)
 
-    def _write(self) -> None:
+    def _send_responses(self) -> None:
+        """Send what the socket takes; read again when all is sent."""
         try:
             sent = self.sock.send(self.unsent)
         except BlockingIOError:
@@ -159,9 +167,9 @@
             return
         self.unsent = self.unsent[sent:]
         if self.unsent:
-            self.loop.add_writer(self.sock, self._write)
+            self.loop.add_writer(self.sock, self._send_responses)
         else:
-            self.loop.add_reader(self.sock, self._read)
+            self.loop.add_reader(self.sock, self._receive_requests)
 
     def _close(self) -> None:
         self.loop.remove(self.sock)
@@ -169,7 +177,8 @@
         self.on_close(self)
 
 
-def _render(page: Page) -> bytes:
+def _encode_response(page: Page) -> bytes:
+    """Return the HTTP response with a page."""
     header = (
         f'HTTP/1.1 {page.status} -\r\n'
         f'Content-Type: {page.content_type}\r\n'
