--- a/packages/keelgap/src/keelgap/catalog/builder.py
+++ b/packages/keelgap/src/keelgap/catalog/builder.py
@@ -127,7 +127,10 @@
         return newer if newer.version > routes.version else routes
 
     def _update_upstream(self, key: str, entry: Entry | None) -> None:
-        """Store or remove an upstream; raise EntryRefused if invalid."""
+        """Store the upstream of an entry, or remove that of a deleted one.
+
+        An invalid entry removes the upstream and raises EntryRefused.
+        """
         upstream_id = key.removeprefix(self.decoders.upstream_prefix)
         if entry is None:
             self.upstreams.remove(upstream_id)
@@ -166,7 +169,7 @@
         )
 
     def _update_evacuation(self, key: str, entry: Entry | None) -> None:
-        """Take an availability zone out of service, or back into it."""
+        """Record that an availability zone is out of service or is back."""
         if entry is None:
             zone = key.removeprefix(self.decoders.evacuation_prefix)
             self.evacuated.pop(zone, None)
--- a/packages/keelgap/src/keelgap/catalog/driver.py
+++ b/packages/keelgap/src/keelgap/catalog/driver.py
@@ -103,7 +103,7 @@
         })
 
     def start(self, store: StoreReader) -> None:
-        """Start reading the store."""
+        """Start to read the store; return at once."""
         self.store = store
         self._run_effects(start(self.state))
         self.loop.call_every(_TIMER_SECONDS, self._handle_timer)
@@ -122,13 +122,13 @@
         self.handle_event(CatchUpRequested(self.loop.clock()))
 
     def record_peer_revision(self, peer: Address, revision: int) -> None:
-        """Handle the revision of a peer; fetch its catalog if it is later."""
+        """Handle the revision of a peer; a later catalog may be fetched."""
         if revision > self.state.revision:
             self.handle_event(PeerAhead(self.loop.clock(), peer, revision))
 
     @property
     def is_answered(self) -> bool:
-        """Return whether the store responded to the latest request."""
+        """Return whether the latest finished request to the store succeeded."""
         return self.state.failing_since is None
 
     def set_reader_role(
@@ -178,7 +178,7 @@
         )
 
     def _schedule_call(self, delay: float, call: Callable[[], None]) -> None:
-        """Run a store request after a delay unless another is scheduled."""
+        """Run a store request after a delay; a later one replaces it."""
         self.scheduled_calls += 1
         if not delay:
             call()
--- a/packages/keelgap/src/keelgap/catalog/events.py
+++ b/packages/keelgap/src/keelgap/catalog/events.py
@@ -43,7 +43,7 @@
 
 
 class ChangesRead(NamedTuple):
-    """The store returned the changes since the last watch, oldest first.
+    """A watch of the store returned changes, oldest first.
 
     There are none if the watch timed out.
     """
@@ -72,7 +72,7 @@
 
 
 class CatchUpRequested(NamedTuple):
-    """The balancer needs changes of the store that its peers know already."""
+    """The search for a flow waits for the latest changes of the store."""
 
     now: float
 
--- a/packages/keelgap/src/keelgap/catalog/follower.py
+++ b/packages/keelgap/src/keelgap/catalog/follower.py
@@ -153,7 +153,7 @@
 def _restart_reading(state: FollowerState, event: HistoryLost) -> Effects:
     """Read all entries again, because the store lost the next changes.
 
-    A process that does not read the store goes idle instead.
+    A process that knows all entries and is not a reader goes idle instead.
     """
     if state.complete and not state.is_reader:
         return _go_idle(state)
@@ -165,7 +165,7 @@
 def _handle_failure(state: FollowerState, event: CallFailed) -> Effects:
     """Retry a failed request after a pause that grows with each failure.
 
-    A process that does not read the store goes idle instead.
+    A process that knows all entries and is not a reader goes idle instead.
     """
     lost: Effects = ()
     if state.complete and not state.is_reader:
@@ -202,7 +202,7 @@
 
 
 def _handle_peer_ahead(state: FollowerState, event: PeerAhead) -> Effects:
-    """Record that a peer has a later revision; fetch it if due."""
+    """Record a peer with a later revision; fetch its catalog if due."""
     if event.revision <= state.revision:
         return ()
     if state.peer_ahead is None:
--- a/packages/keelgap/src/keelgap/catalog/upstream_table.py
+++ b/packages/keelgap/src/keelgap/catalog/upstream_table.py
@@ -29,8 +29,8 @@
     def __init__(self) -> None:
         """Initialize an empty table."""
         self.rows: dict[str, PacketUpstream] = {}
-        #: Unix milliseconds of the latest start of each id, including ids whose
-        #: entry was deleted.
+        #: Unix milliseconds of the latest start of each id, including ids
+        #: whose entry was deleted.
         self.started: dict[str, int] = {}
         #: Number of consecutive refused reports, by id.
         self.refused: dict[str, int] = {}
--- a/packages/keelgap/src/keelgap/packets/counters.py
+++ b/packages/keelgap/src/keelgap/packets/counters.py
@@ -54,7 +54,7 @@
         self.histograms: dict[tuple[str, str], Histogram] = {}
 
     def count(self, name: str) -> None:
-        """Increment the counter with a name, creating it if needed."""
+        """Increment the counter with a name."""
         self.totals[name] = self.totals.get(name, 0) + 1
 
     def observe(self, name: str, service: str, seconds: float) -> None:
--- a/packages/keelgap/src/keelgap/packets/generational_cache.py
+++ b/packages/keelgap/src/keelgap/packets/generational_cache.py
@@ -43,7 +43,7 @@
         return found
 
     def put(self, key: bytes, value: ValueT) -> None:
-        """Store a value; when the cache is full, evict the old generation."""
+        """Store a value; evict the old generation if the young one is full."""
         self.young[key] = value
         if len(self.young) >= self.max_per_generation:
             self._rotate()
--- a/packages/keelgap/src/keelgap/packets/process.py
+++ b/packages/keelgap/src/keelgap/packets/process.py
@@ -71,7 +71,7 @@
         stack: ExitStack,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Create the event loop; the stack closes it."""
+        """Create the event loop, closed by the stack, which flushes the log."""
         self.loop = EventLoop(stack, clock)
         self.lines = JsonLog(program, instance, self.loop.clock)
         self.counters = Counters()
@@ -84,7 +84,7 @@
     gauges: Gauges,
     stack: ExitStack,
 ) -> None:
-    """Serve the metrics page, unless the port is 0."""
+    """Start to serve the metrics page, unless the port is 0."""
     if address.port:
         page = make_metrics_page(process.counters, gauges)
         serve_pages(process.loop, address, {METRICS_PATH: page}, stack)
@@ -94,15 +94,15 @@
     """A packet balancer or a packet agent."""
 
     def start(self) -> None:
-        """Start serving."""
+        """Start to serve callers or the upstream; return at once."""
 
     def stop(self) -> None:
-        """Start a graceful shutdown."""
+        """Start a graceful shutdown, which ends by stopping the event loop."""
 
     def reload(self, settings: Any) -> tuple[str, ...]:
-        """Apply the settings that need no restart.
+        """Apply new settings without a restart, as far as possible.
 
-        Returns their names, as section.name.
+        Returns the names of the settings that need none, as section.name.
         """
 
 
--- a/packages/keelgap/src/keelgap/packets/served_hosts.py
+++ b/packages/keelgap/src/keelgap/packets/served_hosts.py
@@ -57,24 +57,30 @@
 
 
 def pack_served_request(request: ServedHostsRequest) -> bytes:
-    """Encode a ServedHostsRequest."""
+    """Encode the content of a SERVED_ASKED envelope."""
     return _REQUEST.pack(*request)
 
 
 def unpack_served_request(content: bytes) -> ServedHostsRequest:
-    """Decode a ServedHostsRequest; raise MalformedEnvelope if too short."""
+    """Decode the content of a SERVED_ASKED envelope.
+
+    Raises MalformedEnvelope if it is too short.
+    """
     return ServedHostsRequest._make(unpack_header(_REQUEST, content))
 
 
 def pack_served(rows: Iterable[ServedHost]) -> bytes:
-    """Encode the served hosts of a response."""
+    """Encode the content of a SERVED_TOLD envelope."""
     return b''.join(
         _ROW.pack(socket.inet_aton(row.host), row.service_tag) for row in rows
     )
 
 
 def unpack_served(content: bytes) -> tuple[ServedHost, ...]:
-    """Decode served hosts; raise MalformedEnvelope if invalid."""
+    """Decode the content of a SERVED_TOLD envelope.
+
+    Raises MalformedEnvelope if its length is invalid.
+    """
     if len(content) % _ROW.size or len(content) > MAX_SERVED_HOSTS * _ROW.size:
         raise MalformedEnvelope(len(content))
     return tuple(
--- a/packages/keelgap/src/keelgap/runtime/json_log.py
+++ b/packages/keelgap/src/keelgap/runtime/json_log.py
@@ -68,7 +68,7 @@
         self.allowance = LINES_PER_SECOND
 
     def log_decision(self, event: str, **fields: object) -> None:
-        """Log a decision on a flow, subject to the rate limit."""
+        """Log a decision on a flow; drop the line above the rate limit."""
         current_second = int(self.clock())
         if current_second != self.current_second:
             self.current_second = current_second
@@ -80,7 +80,10 @@
         self.log(event, **fields)
 
     def log(self, event: str, **fields: object) -> None:
-        """Log an event without a rate limit, unless the queue is full."""
+        """Log a rare event, for example a start, a stop or a state change.
+
+        There is no rate limit, but a line is dropped if the queue is full.
+        """
         if len(self.queued_lines) >= MAX_QUEUED_LINES:
             self._count_dropped_line(event)
             return
--- a/packages/keelgap/src/keelgap/runtime/pages.py
+++ b/packages/keelgap/src/keelgap/runtime/pages.py
@@ -107,7 +107,10 @@
 
 
 class _Connection:
-    """Connection of a client; responds to its requests in order."""
+    """Connection of a client; responds to its requests in order.
+
+    It is closed when the client disconnects, or on an error.
+    """
 
     def __init__(
         self,
