--- a/packages/keelgap/src/keelgap/catalog/driver.py
+++ b/packages/keelgap/src/keelgap/catalog/driver.py
@@ -128,7 +128,7 @@
 
     @property
     def is_answered(self) -> bool:
-        """Return whether the latest finished request to the store succeeded."""
+        """Return whether the latest finished store request succeeded."""
         return self.state.failing_since is None
 
     def set_reader_role(
--- a/packages/keelgap/src/keelgap/packets/process.py
+++ b/packages/keelgap/src/keelgap/packets/process.py
@@ -71,7 +71,7 @@
         stack: ExitStack,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Create the event loop, closed by the stack, which flushes the log."""
+        """Create the event loop and the log; the stack closes the loop."""
         self.loop = EventLoop(stack, clock)
         self.lines = JsonLog(program, instance, self.loop.clock)
         self.counters = Counters()
