--- a/packages/keelgap/src/keelgap/packets/process.py
+++ b/packages/keelgap/src/keelgap/packets/process.py
@@ -38,12 +38,16 @@
 
 
 class _Decision(Protocol):
+    """A decision on a flow, as the balancer and the agent record it."""
+
+    #: Name of the counter and of the log event.
     name: str
+    #: Fields of the log line; None if the decision is only counted.
     fields: dict[str, Any] | None
 
 
 class DecisionLog:
-    """Count decisions, and log those that have fields."""
+    """Counts decisions on flows, and logs those that have fields."""
 
     def __init__(self, lines: JsonLog, counters: Counters) -> None:
         """Initialize with the log and the counters of the process."""
@@ -67,7 +71,7 @@
         stack: ExitStack,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Create the event loop; the stack closes it."""
+        """Create the event loop and the log; the stack closes the loop."""
         self.loop = EventLoop(stack, clock)
         self.lines = JsonLog(program, instance, self.loop.clock)
         self.counters = Counters()
@@ -80,7 +84,7 @@
     gauges: Gauges,
     stack: ExitStack,
 ) -> None:
-    """Serve the metrics page, unless the port is 0."""
+    """Start to serve the metrics page, unless the port is 0."""
     if address.port:
         page = make_metrics_page(process.counters, gauges)
         serve_pages(process.loop, address, {METRICS_PATH: page}, stack)
@@ -90,13 +94,16 @@
     """A packet balancer or a packet agent."""
 
     def start(self) -> None:
-        """Start serving."""
+        """Start to serve callers or the upstream; return at once."""
 
     def stop(self) -> None:
-        """Start a graceful shutdown."""
+        """Start a graceful shutdown, which ends by stopping the event loop."""
 
     def reload(self, settings: Any) -> tuple[str, ...]:
-        """Apply new settings; return the names of those in force now."""
+        """Apply new settings without a restart, as far as possible.
+
+        Returns the names of the settings that need none, as section.name.
+        """
 
 
 _SettingsT = TypeVar('_SettingsT', bound=tuple[Any, ...])
@@ -116,9 +123,10 @@
     open_sockets: Callable[[_SettingsT, ExitStack], _SocketsT],
     load_factory: Callable[[], ServerFactory[_SettingsT, _SocketsT]],
 ) -> int:
-    """Run a server until it stops the event loop; return the exit status.
+    """Run a balancer or agent until it stops; return the exit status.
 
-    Sockets are opened before the server's code is imported.  Packets that
+    The settings file is ``path``, or that of SETTINGS_VARIABLE.  Sockets are
+    opened before ``load_factory`` imports the server's code.  Packets that
     arrive during the import queue in the sockets, so that their senders need
     not retransmit them.
     """
@@ -127,13 +135,13 @@
     try:
         settings = load_settings(path, settings_type)
     except KeelgapError as error:
-        return _exit_on(error)
+        return _report_startup_error(error)
     _make_stdout_nonblocking()
     with ExitStack() as stack:
         try:
             sockets = open_sockets(settings, stack)
         except KeelgapError as error:
-            return _exit_on(error)
+            return _report_startup_error(error)
         process = PacketProcess(program, settings[0].name, stack)
         server = load_factory()(settings, sockets, process, stack)
         watcher = SettingsWatcher(path, settings, process.lines, server.reload)
@@ -160,11 +168,12 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-def _exit_on(error: KeelgapError) -> int:
+def _report_startup_error(error: KeelgapError) -> int:
+    """Print the error to standard error; return the exit status."""
     print(f'{error.code}: {error}', file=sys.stderr)  # noqa: WPS421
     return _EXIT_BAD_SETTINGS
 
 
 def _make_stdout_nonblocking() -> None:
-    """Make writes to a full pipe fail instead of block the process."""
+    """Make writes to a full pipe fail instead of blocking the process."""
     os.set_blocking(sys.stdout.fileno(), False)  # noqa: WPS425
--- a/packages/keelgap/src/keelgap/packets/served_hosts.py
+++ b/packages/keelgap/src/keelgap/packets/served_hosts.py
@@ -36,14 +36,14 @@
 
 
 class ServedHost(NamedTuple):
-    """A host that gets flows of a service from the sender, or did recently."""
+    """A host to which a balancer sends flows of a service, or did recently."""
 
     host: str
     service_tag: int
 
 
 class ServedHostsRequest(NamedTuple):
-    """Request of a balancer that just started."""
+    """Request of a balancer that just started for the hosts others list."""
 
     #: Revision of the first catalog of the sender.
     first_revision: int
@@ -52,29 +52,35 @@
 
 
 def digest_served(rows: Iterable[ServedHost]) -> int:
-    """Return a digest of the hosts that does not depend on their order."""
+    """Return a digest of hosts and services, independent of their order."""
     return xxh3_64_intdigest(pack_served(sorted(rows)))
 
 
 def pack_served_request(request: ServedHostsRequest) -> bytes:
-    """Encode a request."""
+    """Encode the content of a SERVED_ASKED envelope."""
     return _REQUEST.pack(*request)
 
 
 def unpack_served_request(content: bytes) -> ServedHostsRequest:
-    """Decode a request; raise MalformedEnvelope if invalid."""
+    """Decode the content of a SERVED_ASKED envelope.
+
+    Raises MalformedEnvelope if it is too short.
+    """
     return ServedHostsRequest._make(unpack_header(_REQUEST, content))
 
 
 def pack_served(rows: Iterable[ServedHost]) -> bytes:
-    """Encode the served hosts of a response."""
+    """Encode the content of a SERVED_TOLD envelope."""
     return b''.join(
         _ROW.pack(socket.inet_aton(row.host), row.service_tag) for row in rows
     )
 
 
 def unpack_served(content: bytes) -> tuple[ServedHost, ...]:
-    """Decode served hosts; raise MalformedEnvelope if invalid."""
+    """Decode the content of a SERVED_TOLD envelope.
+
+    Raises MalformedEnvelope if its length is invalid.
+    """
     if len(content) % _ROW.size or len(content) > MAX_SERVED_HOSTS * _ROW.size:
         raise MalformedEnvelope(len(content))
     return tuple(
