--- a/packages/keelgap-agent/src/keelgap_agent/__init__.py
+++ b/packages/keelgap-agent/src/keelgap_agent/__init__.py
@@ -1,1 +1,1 @@
-"""The keelgap agent: ends flows beside the upstream instance it serves."""
+"""The keelgap agent terminates flows next to an upstream instance."""
--- a/packages/keelgap-agent/src/keelgap_agent/commands/check.py
+++ b/packages/keelgap-agent/src/keelgap_agent/commands/check.py
@@ -1,4 +1,4 @@
-"""Check the settings file of an agent; print every fault at once."""
+"""Check the settings file of an agent and print all faults at once."""
 
 import sys
 
--- a/packages/keelgap-agent/src/keelgap_agent/commands/run.py
+++ b/packages/keelgap-agent/src/keelgap_agent/commands/run.py
@@ -12,7 +12,7 @@
 
 
 def run(path: str) -> int:
-    """Run until SIGTERM and the last flow; return the exit status."""
+    """Run until SIGTERM and the end of all flows; return the exit status."""
     try:
         settings = load_settings(path, AgentSettings)
     except KeelgapError as error:
--- a/packages/keelgap-agent/src/keelgap_agent/conf.py
+++ b/packages/keelgap-agent/src/keelgap_agent/conf.py
@@ -14,14 +14,14 @@
 
 
 class UpstreamSettings(NamedTuple):
-    """Section ``upstream``: the instance that this agent stands beside."""
+    """Section ``upstream``: the instance that this agent serves."""
 
     #: Name of the service in the table.
     service: str
     #: HTTP/1.1 base address of the instance.
     url: str
-    #: Path that answers ``{"state": "draining"}`` when the instance leaves;
-    #: empty if there is none.  It never makes an instance dead or alive.
+    #: Path that answers ``{"state": "draining"}`` while the instance drains;
+    #: empty if there is none.  It does not affect health detection.
     state_path: str = ''
 
 
@@ -33,11 +33,12 @@
 
 
 class LimitSettings(NamedTuple):
-    """Section ``limits``."""
+    """Section ``limits``: bounds on memory and idle time."""
 
-    #: Entries of the ledger; new work is refused before one is forgotten.
+    #: Capacity of the ledger.  New work is refused before an unexpired entry
+    #: is evicted.
     ledger_entries: int = defaults.LEDGER_ENTRIES
-    #: Seconds without a packet after which a flow ends.
+    #: Idle timeout of a flow in seconds.
     idle_seconds: float = 60.0
 
 
--- a/packages/keelgap-agent/src/keelgap_agent/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/defaults.py
@@ -1,4 +1,4 @@
-"""Default values of the agent's policies, each with its reason."""
+"""Default values of the agent's policies."""
 
 from typing import Final
 
@@ -26,71 +26,77 @@
     'UPSTREAM_FAILURES',
 )
 
-#: Period of the driver's timer.
+#: Period of the timer that the driver feeds to the reducer.
 TIMER_SECONDS: Final = 0.05
 
-#: How long idle flows stay open after GOAWAY, so that requests which were on
-#: their way are told that they were not processed.
+#: How long idle flows stay open after GOAWAY, so that requests already in
+#: flight are rejected as not processed instead of being lost.
 GOAWAY_SECONDS: Final = 1.0
 
-#: How long a choice to pass a handshake on is remembered; a handshake that
-#: takes longer has been given up by its caller (RFC 9000 idles at 30 s).
+#: How long the agent remembers to which agent it handed a handshake over; a
+#: handshake that takes longer has been abandoned by its caller (RFC 9000 idles
+#: at 30 s).
 HANDOVER_MEMORY_SECONDS: Final = 10.0
 
-#: Handshakes in progress above which callers must validate their address.
+#: Handshakes in progress from which on new callers must validate their
+#: address with a Retry.
 HANDSHAKES_BEFORE_RETRY: Final = 64
 
-#: A ticket is asked for once a connection, so it must outlive the time from
-#: the first request on it to the last retry of that request.
+#: Lifetime of a ticket.  Callers fetch one ticket per connection, so it must
+#: cover the time from the first request to the last retry of that request.
 TICKET_SECONDS: Final = 600
 
-#: Ledger entries outlive their tickets by this time, so that a retry that
-#: comes late still gets the stored answer.
+#: Ledger entries are kept for this time after their ticket expires, so that a
+#: late retry still gets the stored answer.
 LEDGER_RETENTION_SECONDS: Final = 60.0
 
-#: Bound on ledger entries; at 120 a second for ten minutes with room.
+#: Capacity of the ledger: 120 entries per second for ten minutes, with
+#: headroom.
 LEDGER_ENTRIES: Final = 100000
 
-#: Longest answer body that the ledger keeps.
+#: Largest response body that the ledger stores.
 ANSWER_KEPT_OCTETS: Final = 16384
 
-#: Longest request body that may go to another agent.
+#: Largest request body that may be passed on to another agent.
 PORTABLE_OCTETS: Final = 65536
 
-#: How long a body of unknown length is awaited, in case it is short.
+#: How long admission waits for a body of unknown length, so that a short one
+#: can be passed on to another agent.
 BODY_WAIT_SECONDS: Final = 0.1
 
-#: An issuer that did not answer is asked again after this time.
+#: Interval at which an unanswered ask is repeated to the issuer of a ticket.
 ASK_RETRY_SECONDS: Final = 1.0
 
-#: After this time without an answer the caller is told to ask again.  A
-#: pause of 10 seconds at the issuer must fit.
+#: After this time without an answer from the issuer, the caller is told to
+#: retry.  It must exceed a pause of 10 seconds at the issuer.
 ASK_TIMEOUT_SECONDS: Final = 15.0
 
-#: Share of first attempts that may be passed on to another agent.
+#: Ratio of first attempts that may be passed on to another agent.
 BUDGET_SHARE: Final = 0.2
 
-#: Most hand-overs that a quiet time saves up.
+#: Upper bound on the handover budget that accumulates while few requests are
+#: passed on.
 BUDGET_CAP: Final = 20.0
 
-#: First pause that refused callers are told to keep.
+#: Initial retry delay that refused callers are given.
 BACKOFF_BASE_SECONDS: Final = 0.25
 
-#: Longest pause that refused callers are told to keep.
+#: Maximum retry delay of the backoff.
 BACKOFF_MAX_SECONDS: Final = 8.0
 
-#: Expected service time before the first request has ended.
+#: Estimated service time until the first request has completed.
 INITIAL_SERVICE_SECONDS: Final = 0.05
 
-#: Weight of the newest service time in the moving average.
+#: Weight of the latest sample in the moving average of the service time.
 SERVICE_TIME_SMOOTHING: Final = 0.1
 
-#: Connection failures in a row after which an upstream counts as down.
+#: Consecutive connection failures after which the upstream counts as down.
 UPSTREAM_FAILURES: Final = 3
 
-#: How long a down upstream gets no new work before one request tries it.
+#: How long an upstream that is down gets no new requests before it is tried
+#: again.
 UPSTREAM_DOWN_SECONDS: Final = 1.0
 
-#: A leaving agent answers retries from its ledger for this time after its
-#: last flow ended.
+#: After its last flow has ended, a stopping agent stays for this time to
+#: answer late retries from its ledger.
 LINGER_SECONDS: Final = 2.0
--- a/packages/keelgap-agent/src/keelgap_agent/drain.py
+++ b/packages/keelgap-agent/src/keelgap_agent/drain.py
@@ -1,4 +1,7 @@
-"""Leaving: by table row, platform's list, the upstream's word or signal."""
+"""Planned drain of the agent.
+
+It is triggered by the table, the instance list, the upstream or a signal.
+"""
 
 from keelgap_agent import defaults
 from keelgap_agent.effects import (
@@ -27,7 +30,7 @@
 
 
 def change_table(state: AgentState, event: TableChanged) -> Effects:
-    """Put a table in force, unless it is older than the one in force."""
+    """Apply a table, unless it is not newer than the current one."""
     if event.table.version <= state.table.version:
         return ()
     state.table = event.table
@@ -41,64 +44,67 @@
             state.row = next(own, None)
     row = state.row
     draining = row is not None and row.state == 'draining'
-    return _note_cause(state, LeaveCause.TABLE, draining, event.now)
+    return _update_leave_reason(state, LeaveCause.TABLE, draining, event.now)
 
 
 def change_instances(state: AgentState, event: InstancesChanged) -> Effects:
-    """Take note of who is live; this agent may be leaving."""
+    """Apply an instance list, which may report this agent as leaving."""
     if event.instances.revision <= state.instances.revision:
         return ()
     state.instances = event.instances
     leaving = event.instances.select_data('agent', 'leaving')
-    listed = state.identity.data in leaving
-    return _note_cause(state, LeaveCause.LIST, listed, event.now)
+    listed_as_leaving = state.identity.data in leaving
+    return _update_leave_reason(
+        state, LeaveCause.LIST, listed_as_leaving, event.now
+    )
 
 
 def read_upstream_state(
     state: AgentState,
     event: UpstreamStateRead,
 ) -> Effects:
-    """Believe the upstream when it says that it is leaving."""
-    cause = LeaveCause.UPSTREAM
-    return _note_cause(state, cause, event.draining, event.now)
+    """Start or end the drain according to the upstream's own state."""
+    reason = LeaveCause.UPSTREAM
+    return _update_leave_reason(state, reason, event.draining, event.now)
 
 
 def request_stop(state: AgentState, event: StopRequested) -> Effects:
-    """Start a planned stop of this process."""
-    return _note_cause(state, LeaveCause.SIGNAL, True, event.now)
+    """Start the drain that ends with the exit of this process."""
+    return _update_leave_reason(state, LeaveCause.SIGNAL, True, event.now)
 
 
-def _note_cause(
+def _update_leave_reason(
     state: AgentState,
-    cause: LeaveCause,
-    holds: bool,
+    reason: LeaveCause,
+    applies: bool,
     now: float,
 ) -> Effects:
-    if holds:
-        state.leave_causes.add(cause)
+    if applies:
+        state.leave_causes.add(reason)
     else:
-        state.leave_causes.discard(cause)
-    return _announce(state, now)
+        state.leave_causes.discard(reason)
+    return _announce_leaving(state, now)
 
 
-def _announce(state: AgentState, now: float) -> Effects:
+def _announce_leaving(state: AgentState, now: float) -> Effects:
     if not state.is_leaving:
         state.announced_at = None
         return ()
     if state.announced_at is not None:
         return ()
     state.announced_at = now
-    # Those who wait may still find a place elsewhere: ask again for each.
-    waiting = state.queue
+    # Other agents may have capacity for the queued requests: admit each one
+    # again, which passes it on or refuses it.
+    queued = state.queue
     state.queue = []
     effects: list[AgentEffect] = [StopNewRequests()]
-    for request in waiting:
+    for request in queued:
         effects.extend(admit(state, request, now))
     return tuple(effects)
 
 
 def check_exit(state: AgentState, now: float) -> Effects:
-    """Exit after a stop once nothing is left, with time for late retries."""
+    """Exit once a stopping agent is idle and late retries had their time."""
     stopping = LeaveCause.SIGNAL in state.leave_causes
     if not stopping or state.flows or state.requests:
         state.idle_since = None
--- a/packages/keelgap-agent/src/keelgap_agent/driver.py
+++ b/packages/keelgap-agent/src/keelgap_agent/driver.py
@@ -1,4 +1,4 @@
-"""The agent's driver: events through the reducer, effects to the world."""
+"""The agent's driver: dispatches events and carries out their effects."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -27,24 +27,25 @@
 __all__ = ('AgentDriver', 'count_requests')
 
 
-#: Room for the requests of one incarnation: a million a millisecond of life.
+#: Bits of a request id below the incarnation.  Incarnations are start times in
+#: milliseconds, so ids stay unique up to 2**20 requests per millisecond.
 _REQUEST_BITS: Final = 20
 
 
 def count_requests(incarnation: int) -> Iterator[int]:
     """Return request ids that no earlier incarnation has used.
 
-    Peers answer by the id, and their answer to an earlier incarnation must
-    not reach a caller of this one.
+    Peers refer to requests by id, and an answer to an earlier incarnation
+    must not reach a caller of this one.
     """
     return count((incarnation << _REQUEST_BITS) + 1)
 
 
 class AgentDriver:
-    """Run the reducer against connections, the upstream and peers."""
+    """Connect the reducer to connections, the upstream and peers."""
 
     def __init__(self, state: AgentState) -> None:
-        """Start with a state; ports are connected before anything runs."""
+        """Take the state; the ports must be set before the first event."""
         self.state = state
         self.ports: AgentPorts
         self.loop = asyncio.get_running_loop()
@@ -64,21 +65,21 @@
         self.effect_handlers = self._map_handlers()
 
     def dispatch(self, event: events.AgentEvent) -> None:
-        """Reduce an event and carry out the effects."""
+        """Apply an event to the state and carry out its effects."""
         state, emitted = reduce(self.state, event)
         self.state = state
         for effect in emitted:
             self.effect_handlers[type(effect)](effect)
 
     async def run_timer(self) -> None:
-        """Feed the reducer's timer until cancelled."""
+        """Dispatch timer events until cancelled."""
         while True:
             await asyncio.sleep(TIMER_SECONDS)
             self.dispatch(events.TimerFired(self.loop.time()))
             self.ports.flows.return_path.forget_old(self.loop.time())
 
     def handle_offer(self, offer: Offer) -> None:
-        """Have admission look at a first datagram."""
+        """Dispatch the offer of a new flow."""
         self.flow_effects.offer = offer
         envelope = offer.envelope
         self.dispatch(
@@ -94,7 +95,7 @@
         )
 
     def handle_ask(self, asker: Address, ask: Ask) -> None:
-        """Take a request of a peer, unless it is in progress already."""
+        """Start a request of a peer, unless it is in progress already."""
         asks = self.request_effects.peer_asks
         if (asker, ask.ask_id) in asks:
             return
@@ -116,7 +117,7 @@
         )
 
     def handle_answer(self, answer: Answer) -> None:
-        """Take a peer's answer to an ask of ours."""
+        """Dispatch a peer's answer to an ask of this agent."""
         self.dispatch(
             events.PeerAnswered(
                 self.loop.time(),
@@ -127,10 +128,10 @@
         )
 
     def note_upstream_state(self, draining: bool) -> None:
-        """Take what the upstream says of itself."""
+        """Dispatch a change of the upstream's own draining state."""
         now = self.loop.time()
-        known = LeaveCause.UPSTREAM in self.state.leave_causes
-        if draining != known:
+        was_draining = LeaveCause.UPSTREAM in self.state.leave_causes
+        if draining != was_draining:
             self.dispatch(events.UpstreamStateRead(now, draining))
 
     def _map_handlers(self) -> MappingProxyType[type, Callable[[Any], None]]:
--- a/packages/keelgap-agent/src/keelgap_agent/effects.py
+++ b/packages/keelgap-agent/src/keelgap_agent/effects.py
@@ -1,4 +1,4 @@
-"""Effects that the agent's reducer asks its driver for."""
+"""Effects that the agent's reducer returns for its driver to carry out."""
 
 from typing import NamedTuple
 
@@ -28,30 +28,30 @@
 
 
 class TakeFlow(NamedTuple):
-    """Take the offered flow."""
+    """Accept the offered flow."""
 
 
 class PassFlow(NamedTuple):
-    """Pass the offered datagram to the next candidate."""
+    """Hand the offered flow over to the next candidate."""
 
     agent: Address
     turn: int
 
 
 class ChallengeFlow(NamedTuple):
-    """Have the caller validate its address first (RFC 9000, 8.1.2)."""
+    """Require address validation with a Retry (RFC 9000, 8.1.2)."""
 
 
 class RefuseFlow(NamedTuple):
-    """Tell the caller that no upstream can take the flow."""
+    """Refuse the flow because no candidate can accept it."""
 
 
 class StopNewRequests(NamedTuple):
-    """Tell all callers of open flows to open no more requests here."""
+    """Send GOAWAY on all open flows."""
 
 
 class EndFlow(NamedTuple):
-    """Close a flow that has no request left."""
+    """Close a flow that has no open request."""
 
     flow_id: int
 
@@ -60,25 +60,25 @@
     """Send a request to the upstream."""
 
     request_id: int
-    #: Seconds left of the caller's deadline.
+    #: Remaining seconds until the caller's deadline.
     deadline_seconds: float
 
 
 class CancelRun(NamedTuple):
-    """Tell the upstream that a started request is not wanted any more."""
+    """Abort a request that is running at the upstream."""
 
     request_id: int
 
 
 class AnswerRequest(NamedTuple):
-    """Answer with what is stored, or what a peer returned."""
+    """Answer with a stored response or with that of a peer."""
 
     request_id: int
     answer: StoredAnswer
 
 
 class RefuseRequest(NamedTuple):
-    """Answer with a problem."""
+    """Answer with a problem document."""
 
     request_id: int
     problem: Problem
@@ -92,7 +92,7 @@
 
 
 class AskPeer(NamedTuple):
-    """Ask another agent about a request, or to run it."""
+    """Ask another agent for the outcome of a request, or to run it."""
 
     request_id: int
     #: Control address of the agent.
@@ -102,28 +102,28 @@
 
 
 class Drop(NamedTuple):
-    """Count a datagram that is not accepted."""
+    """Count a rejected datagram by its reason."""
 
     reason: str
 
 
 class Count(NamedTuple):
-    """Count something that operators watch."""
+    """Increment a counter of the metrics."""
 
     name: str
 
 
 class Observe(NamedTuple):
-    """Record a time in a histogram of the request's class."""
+    """Record a duration in the histogram of a traffic class."""
 
-    #: Name of the histogram, without its prefix.
+    #: Name of the histogram without the namespace prefix.
     name: str
     traffic_class: str
     seconds: float
 
 
 class Exit(NamedTuple):
-    """All flows have ended; the process may exit."""
+    """Let the process exit: all flows have ended."""
 
 
 AgentEffect = (
--- a/packages/keelgap-agent/src/keelgap_agent/events.py
+++ b/packages/keelgap-agent/src/keelgap_agent/events.py
@@ -1,6 +1,6 @@
-"""Events of the agent's reducer; ``now`` is in seconds of one clock.
+"""Events of the agent's reducer; ``now`` is in seconds on the loop's clock.
 
-No type of QUIC or HTTP stands here: the driver translates.
+Events hold no QUIC or HTTP types; the driver translates them.
 """
 
 from typing import NamedTuple
@@ -35,47 +35,47 @@
 
 
 class FlowOffered(NamedTuple):
-    """The first datagram of a flow that is not known here."""
+    """The first datagram of a new flow arrived."""
 
     now: float
-    #: Connection id that the caller made up.
+    #: Destination connection id that the caller chose.
     connection_id: bytes
     service: int
     candidates: tuple[Address, ...]
-    #: Index in candidates of this agent.
+    #: Index of this agent in the candidates.
     turn: int
     #: Handshakes in progress at this agent.
     handshakes: int
-    #: Whether the caller's address was validated by a Retry.
+    #: Whether the caller's address was validated with a Retry.
     validated: bool = False
 
 
 class FlowOpened(NamedTuple):
-    """A flow was taken."""
+    """A flow was accepted and its connection opened."""
 
     now: float
     flow_id: int
 
 
 class FlowClosed(NamedTuple):
-    """A flow ended; all its requests were cancelled before."""
+    """A flow ended; all its requests have been cancelled before."""
 
     now: float
     flow_id: int
 
 
 class RequestHead(NamedTuple):
-    """What admission needs to know of a request."""
+    """The attributes of a request that admission uses."""
 
     method: str
     path: str
-    #: Value of Idempotency-Key, if given.
+    #: Value of the Idempotency-Key header, if present.
     key: str | None
     #: Digest of the caller's credentials.
     caller: bytes
-    #: Seconds that the caller is willing to wait, if told.
+    #: Seconds that the caller is willing to wait, if it sent a deadline.
     deadline_seconds: float | None
-    #: Whether the body is short and has arrived in whole.
+    #: Whether the body is complete and small enough to be passed on.
     portable: bool
 
 
@@ -89,14 +89,14 @@
 
 
 class RequestCancelled(NamedTuple):
-    """The caller gave a request up, or its flow ended."""
+    """The caller cancelled a request, or its flow ended."""
 
     now: float
     request_id: int
 
 
 class RequestFinished(NamedTuple):
-    """A request that had been started ended at the upstream."""
+    """A started request ended at the upstream."""
 
     now: float
     request_id: int
@@ -104,17 +104,17 @@
 
 
 class PeerAsked(NamedTuple):
-    """Another agent asks to run a request, or how it ended."""
+    """Another agent asks to run a request, or for its outcome."""
 
     now: float
     request_id: int
     head: RequestHead
-    #: True if the asker keeps the ledger and only wants it run here.
+    #: Whether to run it without the ledger, which the asking agent keeps.
     run_only: bool
 
 
 class PeerAnswered(NamedTuple):
-    """Another agent answered: an answer, a problem, or "busy"."""
+    """Another agent answered with a response or a problem."""
 
     now: float
     request_id: int
@@ -123,7 +123,7 @@
 
 
 class UpstreamStateRead(NamedTuple):
-    """The upstream itself said whether it is leaving."""
+    """The upstream reported a change of its own draining state."""
 
     now: float
     draining: bool
--- a/packages/keelgap-agent/src/keelgap_agent/flows/__init__.py
+++ b/packages/keelgap-agent/src/keelgap_agent/flows/__init__.py
@@ -1,1 +1,1 @@
-"""New QUIC flows: who takes them, and what is done about it."""
+"""Admission of new QUIC flows and the effects that carry it out."""
--- a/packages/keelgap-agent/src/keelgap_agent/flows/flow_effects.py
+++ b/packages/keelgap-agent/src/keelgap_agent/flows/flow_effects.py
@@ -1,4 +1,4 @@
-"""Effects on flows: take, pass on, refuse, announce, end."""
+"""Handlers of the effects on flows."""
 
 from keelgap.wire.encapsulation import MessageKind
 from keelgap_agent import effects, events
@@ -10,17 +10,17 @@
 
 
 class FlowEffects:
-    """Carry out what the reducer decided about flows."""
+    """Carry out the effects on flows."""
 
     def __init__(self, driver: Dispatcher) -> None:
-        """Act through the ports of a driver."""
+        """Use the ports of a driver."""
         self.driver = driver
-        #: The first datagram that admission looks at now.
+        #: The offer that admission is deciding about.
         self.offer: Offer
 
     @property
     def flows(self) -> FlowTable:
-        """Return the flows that are open."""
+        """Return the table of open flows."""
         return self.driver.ports.flows
 
     def take_flow(self, effect: effects.TakeFlow) -> None:
@@ -33,18 +33,18 @@
         flows.feed(connection, offer.envelope, offer.via)
 
     def pass_flow(self, effect: effects.PassFlow) -> None:
-        """Send the first datagram to the next candidate."""
+        """Forward the first datagram to the next candidate."""
         offer = self.offer
-        passed = offer.envelope._replace(
+        handover = offer.envelope._replace(
             kind=MessageKind.HANDOVER,
             via=offer.via,
             turn=effect.turn,
         )
-        self.flows.sender.send(effect.agent, passed)
+        self.flows.sender.send(effect.agent, handover)
         self.flows.sender.acknowledge(offer.via)
 
     def challenge_flow(self, effect: effects.ChallengeFlow) -> None:
-        """Answer with a Retry."""
+        """Answer the first datagram with a Retry."""
         offer = self.offer
         flows = self.flows
         caller = offer.envelope.caller
@@ -56,7 +56,7 @@
         flows.sender.send_to_caller(offer.via, caller, retry)
 
     def refuse_flow(self, effect: effects.RefuseFlow) -> None:
-        """Answer with CONNECTION_REFUSED."""
+        """Close the connection attempt with CONNECTION_REFUSED."""
         offer = self.offer
         refusal = make_refusal(offer.header)
         self.flows.sender.send_to_caller(
@@ -71,7 +71,7 @@
             connection.stop_new_requests()
 
     def end_flow(self, effect: effects.EndFlow) -> None:
-        """Close a connection that has no request left."""
+        """Close a connection that has no open request."""
         connection = self.flows.flows.get(effect.flow_id)
         if connection is not None:
             connection.close()
--- a/packages/keelgap-agent/src/keelgap_agent/metrics.py
+++ b/packages/keelgap-agent/src/keelgap_agent/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the agent: histograms for each class of the service."""
+"""Prometheus metrics of the agent."""
 
 from typing import Final
 
@@ -28,10 +28,10 @@
 
 
 class AgentMetrics(SharedMetrics):
-    """Metrics of one agent; docs/ref/metrics.md lists them."""
+    """Metrics of one agent, documented in docs/ref/metrics.md."""
 
     def __init__(self) -> None:
-        """Register all of them."""
+        """Register all metrics."""
         super().__init__()
         self.histograms = {
             name: self._make_histogram(name, text)
--- a/packages/keelgap-agent/src/keelgap_agent/ports.py
+++ b/packages/keelgap-agent/src/keelgap_agent/ports.py
@@ -1,4 +1,4 @@
-"""What effects act through: the ports of an agent, and its driver's part."""
+"""Interfaces through which effects reach the network and the driver."""
 
 import asyncio
 from typing import NamedTuple, Protocol
@@ -15,7 +15,7 @@
 
 
 class AgentPorts(NamedTuple):
-    """What the driver acts through."""
+    """The components that the driver uses."""
 
     flows: FlowTable
     upstream: UpstreamClient
@@ -24,7 +24,7 @@
 
 
 class Dispatcher(Protocol):
-    """What carries out effects and reports what came of them."""
+    """The part of the driver that handlers of effects use."""
 
     state: AgentState
     ports: AgentPorts
@@ -32,4 +32,4 @@
     connection_hooks: ConnectionHooks
 
     def dispatch(self, event: AgentEvent) -> None:
-        """Reduce an event and carry out the effects."""
+        """Apply an event to the state and carry out its effects."""
--- a/packages/keelgap-agent/src/keelgap_agent/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/reducer.py
@@ -1,7 +1,6 @@
 """The agent's reducer: ``(state, event) -> (state, effects)``.
 
-The state object is owned by the reducer and changed in place, as in the
-balancer.
+The reducer owns the state and changes it in place, as in the balancer.
 """
 
 from collections.abc import Callable
@@ -45,7 +44,7 @@
     state: AgentState,
     event: events.AgentEvent,
 ) -> tuple[AgentState, Effects]:
-    """Return the state after an event and what the driver must do."""
+    """Return the state after an event and the effects to carry out."""
     return state, _HANDLERS[type(event)](state, event)
 
 
@@ -54,13 +53,13 @@
     state.ledger.forget_expired(event.now)
     return tuple(
         effect
-        for decide in _TIMER_DECISIONS
-        for effect in decide(state, event.now)
+        for handler in _TIMER_HANDLERS
+        for effect in handler(state, event.now)
     )
 
 
-#: What time alone may change, in this order.
-_TIMER_DECISIONS: Final = (
+#: Handlers that run on every timer event, in this order.
+_TIMER_HANDLERS: Final = (
     drop_expired,
     start_waiting,
     ask_issuers_again,
--- a/packages/keelgap-agent/src/keelgap_agent/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/server.py
@@ -1,4 +1,4 @@
-"""A whole agent: flows, upstream, control side and admin in one stack."""
+"""The agent process: flows, upstream, control plane and admin server."""
 
 import asyncio
 from contextlib import AsyncExitStack, ExitStack
@@ -51,7 +51,7 @@
 
 
 class FlowReport(TypedDict):
-    """One open flow."""
+    """One open flow as reported on the admin port."""
 
     flow: int
     caller: str
@@ -60,7 +60,7 @@
 
 
 class AgentServer:
-    """Start, drain and describe one agent."""
+    """Start, drain and report on one agent."""
 
     def __init__(self, settings: AgentSettings) -> None:
         """Load keys and certificate; raises ImproperlyConfigured."""
@@ -74,7 +74,7 @@
         self.plane: ControlPlane
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Bind everything; the stack closes it."""
+        """Bind all sockets and start all tasks; the stack closes them."""
         instance = self.settings.instance
         listen = self.settings.listen
         flows = self._make_flows()
@@ -85,8 +85,8 @@
             PlaneSettings(instance, listen, self.settings.config_service),
             self.keys,
             self.metrics,
-            self._take_change,
-            self._take_message,
+            self._handle_change,
+            self._handle_message,
             stack,
         )
         self.driver.ports = AgentPorts(
@@ -109,17 +109,17 @@
         )
 
     async def drain(self) -> None:
-        """Leave in a planned way: return once the last flow has ended."""
+        """Start a planned drain and return when the agent may exit."""
         self.driver.dispatch(StopRequested(self.loop.time()))
         await self.driver.exited.wait()
 
     @property
     def flows(self) -> FlowTable:
-        """Return the flows that are open."""
+        """Return the table of open flows."""
         return self.driver.ports.flows
 
     def list_flows(self) -> list[FlowReport]:
-        """Return every open flow."""
+        """Return a report of every open flow."""
         return [
             FlowReport(
                 flow=connection.flow_id,
@@ -162,7 +162,7 @@
             FlowHooks(
                 self.driver.handle_offer,
                 lambda number: accepts_service(self.driver.state, number),
-                self._note_revision,
+                self._record_revision,
             ),
         )
         return flows
@@ -174,8 +174,9 @@
         self,
         stack: AsyncExitStack,
     ) -> aiohttp.ClientSession:
-        # A kept connection may close under a request that must not be sent
-        # twice, and nobody could tell whether it ran: open one for each.
+        # Each request gets a connection of its own.  A kept-alive connection
+        # may close while a request that must not be repeated is sent on it, and
+        # the agent could not tell whether that request ran.
         connector = aiohttp.TCPConnector(force_close=True, limit=0)
         return await stack.enter_async_context(
             aiohttp.ClientSession(
@@ -196,10 +197,10 @@
         upstream = self.settings.upstream
         if upstream.state_path:
             url = upstream.url.rstrip('/') + upstream.state_path
-            watch = asyncio.create_task(
+            poll = asyncio.create_task(
                 watch_state(session, url, self.driver.note_upstream_state),
             )
-            stack.callback(watch.cancel)
+            stack.callback(poll.cancel)
 
     def _report_status(self) -> object:
         return make_status_report(
@@ -222,11 +223,11 @@
         self.metrics.queued.set(len(state.queue))
         self.metrics.ledger.set(len(state.ledger.entries))
 
-    def _note_revision(self, sender: Address, revision: int) -> None:
+    def _record_revision(self, sender: Address, revision: int) -> None:
         if revision > self._get_revision():
             self.plane.dissemination.note_revision(sender, revision)
 
-    def _take_change(self, parsed: Parsed) -> None:
+    def _handle_change(self, parsed: Parsed) -> None:
         now = self.loop.time()
         if isinstance(parsed, Table):
             self.driver.dispatch(TableChanged(now, parsed))
@@ -238,7 +239,7 @@
             balancers = parsed.select_data('balancer', 'live')
             self.flows.return_path.note_listed(balancers)
 
-    def _take_message(self, delivery: Delivery) -> None:
+    def _handle_message(self, delivery: Delivery) -> None:
         message = delivery.message
         if isinstance(message, Ask):
             self.driver.handle_ask(delivery.sender, message)
--- a/packages/keelgap-agent/src/keelgap_agent/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/state.py
@@ -1,4 +1,4 @@
-"""State of an agent; all of it shares the fate of the upstream instance."""
+"""State of an agent; it shares the lifetime of the upstream instance."""
 
 from enum import Enum
 from random import Random
@@ -29,43 +29,44 @@
 
 
 class AgentIdentity(NamedTuple):
-    """Who this agent is; fixed for one incarnation."""
+    """Identity of an agent, constant for one incarnation."""
 
     data: Address
     control: Address
-    #: Name of the service whose instance this agent stands beside.
+    #: Name of the service whose instance this agent serves.
     service: str
-    #: Start time in seconds; rises with each start on the same address.
+    #: Start time in milliseconds since the epoch; increases with each start
+    #: on the same address.
     incarnation: int
-    #: Time of the start on the clock of events.
+    #: Time of the start in seconds, on the clock of events.
     started: float
 
 
 class LeaveCause(Enum):
-    """Who said that this agent is leaving."""
+    """Sources that can report this agent as leaving."""
 
     TABLE = 'table'
     LIST = 'list'
     UPSTREAM = 'upstream'
-    #: SIGTERM; the only one that cannot be taken back.
+    #: SIGTERM, the only source that cannot be withdrawn.
     SIGNAL = 'signal'
 
 
 class Phase(Enum):
-    """Where a request stands."""
+    """Phases of a request."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
-    #: Another agent runs it for us.
+    #: Another agent was asked to run it.
     PASSED = 'passed'
-    #: Its issuer was asked how it ended.
+    #: The issuer of its ticket was asked for the outcome.
     ASKING = 'asking'
-    #: An earlier attempt with the same key is under way here.
+    #: It waits for an earlier attempt with the same key at this agent.
     WAITING = 'waiting'
 
 
 class Request:
-    """A request that has not got its final answer."""
+    """A request without a final answer."""
 
     __slots__ = (
         'arrived',
@@ -94,7 +95,7 @@
         traffic_class: TrafficClass,
         arrived: float,
     ) -> None:
-        """Start in the queue; flow_id is None for a peer's request."""
+        """Start as queued; flow_id is None for a peer's request."""
         self.request_id = request_id
         self.flow_id = flow_id
         self.traffic_class = traffic_class
@@ -103,26 +104,26 @@
         self.asked_at = arrived
         self.deadline_at = arrived + traffic_class.deadline_seconds
         self.phase = Phase.QUEUED
-        #: Set if this agent's ledger keeps the request.
+        #: Set if the request is in this agent's ledger.
         self.key: LedgerKey | None = None
         self.key_expires_at = arrived
         self.portable = False
-        #: Whether running it twice is harmless (RFC 9110, 9.2.1).
+        #: Whether its method is safe to repeat (RFC 9110, 9.2.1).
         self.safe = False
-        #: Whether another agent passed it on or asks about it.
+        #: Whether it came from another agent.
         self.from_peer = flow_id is None
-        #: Control address of the agent whose ticket it carries.
+        #: Control address of the issuer of its ticket, set when it is asked.
         self.issuer: Address | None = None
-        #: Whether that agent's ledger, if any, keeps it.
+        #: Whether the asking agent keeps it in its ledger, if it has a key.
         self.run_only = False
-        #: Whether it was passed to another agent before.
+        #: Whether it was passed on to another agent before.
         self.moved = False
-        #: Whether its caller is gone, while its outcome still matters.
+        #: Whether its caller has left while its outcome is still needed.
         self.detached = False
 
 
 class AgentState:
-    """What the reducer owns; it alone changes it, in place."""
+    """State of the reducer, which alone changes it."""
 
     def __init__(
         self,
@@ -140,28 +141,29 @@
         self.service: Service | None = None
         self.row: Upstream | None = None
         self.requests: dict[int, Request] = {}
-        #: Those that another agent was asked about; the timer looks at no
-        #: others, because thousands of long streams may be open.
+        #: Requests that wait for another agent.  The timer checks only these,
+        #: because thousands of long streams may be open.
         self.asked: dict[int, Request] = {}
-        #: Waiting requests in the order in which they will start.
+        #: Queued requests in the order in which they will start.
         self.queue: list[Request] = []
-        #: Requests that hold a slot.
+        #: Number of requests that hold a slot.
         self.busy = 0
-        #: Open flows and the requests open on each.
+        #: Number of open requests of each open flow.
         self.flows: dict[int, int] = {}
-        #: Handshakes that were passed on: to whom, turn and until when.
+        #: Handshakes that were handed over, by the caller's connection id:
+        #: agent, its index in the candidates and time of expiry.
         self.handovers: dict[bytes, tuple[Address, int, float]] = {}
         self.service_seconds = defaults.INITIAL_SERVICE_SECONDS
         self.budget = defaults.BUDGET_CAP
-        #: Refusals in a row, for growing retry hints.
+        #: Refusals since a request was last started; the backoff grows with it.
         self.refusals = 0
         self.failures = 0
         self.down_until = identity.started
-        #: Why this agent is leaving; empty if it is not.
+        #: Why this agent is leaving; empty while it is not.
         self.leave_causes: set[LeaveCause] = set()
-        #: When callers were told that this agent is leaving.
+        #: When GOAWAY was sent to callers.
         self.announced_at: float | None = None
-        #: Flows that are being closed.
+        #: Flows for which EndFlow was returned.
         self.ended_flows: set[int] = set()
         self.idle_since: float | None = None
 
@@ -171,17 +173,17 @@
         return bool(self.leave_causes)
 
     def count_slots(self, now: float) -> int:
-        """Return the slots in use now; they grow over the cold start."""
+        """Return the number of slots, which grows during a cold start."""
         if self.row is None:
             return 0
         age = now - self.identity.started
-        cold = self.row.cold_start_seconds
-        if age >= cold:
+        cold_start_seconds = self.row.cold_start_seconds
+        if age >= cold_start_seconds:
             return self.row.slots
-        return max(1, int(self.row.slots * age / cold))
+        return max(1, int(self.row.slots * age / cold_start_seconds))
 
     def is_down(self, now: float) -> bool:
-        """Return whether the upstream refused its last connections."""
+        """Return whether repeated failures keep the upstream out of use."""
         return (
             self.failures >= defaults.UPSTREAM_FAILURES
             and now < self.down_until
@@ -193,9 +195,9 @@
     method: str,
     path: str,
 ) -> TrafficClass:
-    """Return the first class of a service that fits a request."""
+    """Return the first traffic class of a service that matches."""
     for row in service.classes if service else ():
-        fits_method = row.method in {'', method}
-        if fits_method and path.startswith(row.path_prefix):
+        matches_method = row.method in {'', method}
+        if matches_method and path.startswith(row.path_prefix):
             return row
     return DEFAULT_CLASS
