--- a/packages/keelgap-agent/src/keelgap_agent/quic/__init__.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' QUIC connections, and the data port they arrive at."""
+"""QUIC connections of callers and the data port that serves them."""
--- a/packages/keelgap-agent/src/keelgap_agent/quic/bodies.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/bodies.py
@@ -1,4 +1,4 @@
-"""Request bodies on their way from a caller to the upstream."""
+"""Buffers for request bodies between a caller and the upstream."""
 
 import asyncio
 from collections import deque
@@ -8,15 +8,15 @@
 
 
 class BodyCancelled(Exception):
-    """The caller broke the body off."""
+    """The caller cancelled the request before the end of its body."""
 
 
 class BodyBuffer:
-    """Octets received and not yet taken; the caller's credit bounds them."""
+    """Octets received and not yet consumed, bounded by flow control."""
 
-    def __init__(self, on_taken: Callable[[int], None]) -> None:
-        """Call on_taken with the count of octets that the upstream took."""
-        self.on_taken = on_taken
+    def __init__(self, on_consumed: Callable[[int], None]) -> None:
+        """Call on_consumed with the number of octets that were consumed."""
+        self.on_consumed = on_consumed
         self.chunks: deque[bytes] = deque()
         self.size = 0
         self.ended = False
@@ -24,7 +24,7 @@
         self.changed = asyncio.Event()
 
     def feed(self, chunk: bytes, *, ended: bool) -> None:
-        """Append what arrived."""
+        """Append received octets."""
         if chunk:
             self.chunks.append(chunk)
             self.size += len(chunk)
@@ -32,22 +32,22 @@
         self.changed.set()
 
     def cancel(self) -> None:
-        """Make the reader fail, unless all has arrived already."""
+        """Make the reader fail, unless the body is complete already."""
         self.cancelled = not self.ended
         self.changed.set()
 
     def read_all(self) -> bytes:
-        """Return a body that has arrived in whole, leaving it in place."""
+        """Return the buffered octets without consuming them."""
         return b''.join(self.chunks)
 
     async def read(self) -> AsyncIterator[bytes]:
-        """Yield chunks; each is credited once the next one is asked for."""
+        """Yield chunks; each counts as consumed when the next is requested."""
         while True:
             while self.chunks and not self.cancelled:
                 chunk = self.chunks.popleft()
                 self.size -= len(chunk)
                 yield chunk
-                self.on_taken(len(chunk))
+                self.on_consumed(len(chunk))
             if self.cancelled:
                 raise BodyCancelled
             if self.ended:
--- a/packages/keelgap-agent/src/keelgap_agent/quic/connections.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/connections.py
@@ -1,6 +1,6 @@
-"""A caller's connection: QUIC and HTTP/3 on one side, requests on the other.
+"""A caller's connection, which turns QUIC and HTTP/3 events into requests.
 
-No decision stands here; what may start, and when, is the reducer's.
+It makes no admission decisions; the reducer decides what starts and when.
 """
 
 import asyncio
@@ -19,16 +19,16 @@
 
 __all__ = ('CallerConnection', 'ConnectionHooks')
 
-_STREAM_STEP: Final = 4
+_STREAM_ID_STEP: Final = 4
 
 
 class ConnectionHooks(NamedTuple):
-    """What a connection tells its driver."""
+    """Callbacks from a connection to its driver."""
 
     on_request: Callable[['CallerStream'], None]
     on_cancelled: Callable[['CallerStream'], None]
     on_closed: Callable[['CallerConnection'], None]
-    #: Called after anything that may have left datagrams to send.
+    #: Called after any operation that may have produced datagrams to send.
     transmit: Callable[['CallerConnection'], None]
     next_request_id: Callable[[], int]
     on_id_retired: Callable[[bytes], None]
@@ -36,7 +36,7 @@
 
 
 class CallerConnection:
-    """One flow, from its handshake to its end."""
+    """The connection of one flow."""
 
     def __init__(
         self,
@@ -45,40 +45,40 @@
         caller: Address,
         hooks: ConnectionHooks,
     ) -> None:
-        """Start before the handshake."""
+        """Create the connection before its handshake."""
         self.flow_id = flow_id
         self.quic = quic
-        #: Address that the flow was heard from last.
+        #: Address that the caller last sent from.
         self.caller = caller
         self.hooks = hooks
-        #: Balancer through which the flow was heard last.
+        #: Balancer that last forwarded a datagram of the flow.
         self.via = caller
-        #: Set once the handshake has agreed on HTTP/3, before any stream.
+        #: Set when the handshake has negotiated HTTP/3, before any stream.
         self.http: H3Connection
         self.port: StreamPort
         self.streams: dict[int, CallerStream] = {}
         self.ids: set[bytes] = set()
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
-        #: Requests on this stream id and above it are rejected.
-        self.goaway: int | None = None
-        self.next_stream = 0
+        #: Stream id sent in GOAWAY; requests from this id on are rejected.
+        self.goaway_stream_id: int | None = None
+        self.next_stream_id = 0
         self.event_handlers = self._map_handlers()
 
     def process_events(self) -> None:
-        """Act on what the received datagrams brought."""
+        """Handle all pending events of the QUIC connection."""
         event = self.quic.next_event()
         while event is not None:
-            self._process(event)
+            self._process_quic(event)
             event = self.quic.next_event()
         for stream in tuple(self.streams.values()):
             stream.announce(self.hooks.on_request)
 
     def stop_new_requests(self) -> None:
-        """Send GOAWAY: what is open goes on, no more may be opened."""
-        if self.goaway is None and self.quic.is_established:
-            self.goaway = self.next_stream
-            send_goaway(self.http, self.goaway)
+        """Send GOAWAY, which lets open requests finish but allows no more."""
+        if self.goaway_stream_id is None and self.quic.is_established:
+            self.goaway_stream_id = self.next_stream_id
+            send_goaway(self.http, self.goaway_stream_id)
             self.hooks.transmit(self)
 
     def close(self) -> None:
@@ -87,32 +87,32 @@
         self.hooks.transmit(self)
 
     def wake_senders(self) -> None:
-        """Let answers go on for which the caller has made room."""
+        """Wake answers that wait for the caller to acknowledge data."""
         for stream in self.streams.values():
             stream.room.set()
 
     def forget(self, stream_id: int) -> None:
-        """Drop a stream that has its final answer."""
+        """Remove a stream that is answered, reset or cancelled."""
         self.streams.pop(stream_id, None)
         self.quic.forget_stream(stream_id)
 
     def _map_handlers(self) -> Mapping[type, Callable[[Any], None]]:
         return MappingProxyType({
-            quic_events.ConnectionTerminated: self._terminate,
-            quic_events.ProtocolNegotiated: self._agree_protocol,
-            quic_events.HandshakeCompleted: self._complete_handshake,
-            quic_events.ConnectionIdRetired: self._retire_id,
-            quic_events.StreamReset: self._break_off,
-            quic_events.StopSendingReceived: self._break_off,
-            quic_events.StreamDataReceived: self._read_stream,
+            quic_events.ConnectionTerminated: self._handle_termination,
+            quic_events.ProtocolNegotiated: self._start_http,
+            quic_events.HandshakeCompleted: self._handle_handshake_completed,
+            quic_events.ConnectionIdRetired: self._handle_id_retired,
+            quic_events.StreamReset: self._handle_stream_abort,
+            quic_events.StopSendingReceived: self._handle_stream_abort,
+            quic_events.StreamDataReceived: self._handle_stream_data,
         })
 
-    def _process(self, event: quic_events.QuicEvent) -> None:
+    def _process_quic(self, event: quic_events.QuicEvent) -> None:
         handler = self.event_handlers.get(type(event))
         if handler is not None:
             handler(event)
 
-    def _agree_protocol(self, event: quic_events.ProtocolNegotiated) -> None:
+    def _start_http(self, event: quic_events.ProtocolNegotiated) -> None:
         self.http = H3Connection(self.quic)
         self.port = StreamPort(
             self.flow_id,
@@ -122,24 +122,28 @@
             self.forget,
         )
 
-    def _complete_handshake(
+    def _handle_handshake_completed(
         self,
         event: quic_events.HandshakeCompleted,
     ) -> None:
         if self.hooks.is_leaving():
             self.stop_new_requests()
 
-    def _retire_id(self, event: quic_events.ConnectionIdRetired) -> None:
+    def _handle_id_retired(
+        self, event: quic_events.ConnectionIdRetired
+    ) -> None:
         self.ids.discard(event.connection_id)
         self.hooks.on_id_retired(event.connection_id)
 
-    def _break_off(
+    def _handle_stream_abort(
         self,
         event: quic_events.StreamReset | quic_events.StopSendingReceived,
     ) -> None:
         self._cancel(event.stream_id)
 
-    def _read_stream(self, event: quic_events.StreamDataReceived) -> None:
+    def _handle_stream_data(
+        self, event: quic_events.StreamDataReceived
+    ) -> None:
         for http_event in self.http.handle_event(event):
             self._process_http(http_event)
 
@@ -148,24 +152,24 @@
 
     def _process_http(self, event: H3Event) -> None:
         if isinstance(event, HeadersReceived):
-            self._open_or_end_stream(event)
+            self._handle_headers(event)
         elif isinstance(event, DataReceived):
             stream = self.streams.get(event.stream_id)
             if stream is None:
-                # Nobody will take it: the credit goes back at once.
+                # No one will consume the data: restore the credit at once.
                 self.quic.take_credit(event.stream_id, len(event.data))
             else:
                 stream.body.feed(event.data, ended=event.stream_ended)
 
-    def _open_or_end_stream(self, event: HeadersReceived) -> None:
-        known = self.streams.get(event.stream_id)
-        if known is not None:
-            # Trailers are not passed on; they only end the body.
-            known.body.feed(b'', ended=event.stream_ended)
+    def _handle_headers(self, event: HeadersReceived) -> None:
+        open_stream = self.streams.get(event.stream_id)
+        if open_stream is not None:
+            # Trailers are not forwarded; they only end the body.
+            open_stream.body.feed(b'', ended=event.stream_ended)
             return
-        self.next_stream = max(
-            self.next_stream,
-            event.stream_id + _STREAM_STEP,
+        self.next_stream_id = max(
+            self.next_stream_id,
+            event.stream_id + _STREAM_ID_STEP,
         )
         stream = CallerStream(
             self.port,
@@ -175,16 +179,19 @@
         )
         self.streams[event.stream_id] = stream
         stream.body.feed(b'', ended=event.stream_ended)
-        if stream.expected is None and not event.stream_ended:
+        if stream.expected_length is None and not event.stream_ended:
             asyncio.get_running_loop().call_later(
                 BODY_WAIT_SECONDS,
-                self._announce_waiting,
+                self._submit_after_wait,
                 stream,
             )
-        if self.goaway is not None and event.stream_id >= self.goaway:
+        if (
+            self.goaway_stream_id is not None
+            and event.stream_id >= self.goaway_stream_id
+        ):
             stream.reject()
 
-    def _announce_waiting(self, stream: CallerStream) -> None:
+    def _submit_after_wait(self, stream: CallerStream) -> None:
         stream.waited = True
         if stream.stream_id in self.streams:
             stream.announce(self.hooks.on_request)
@@ -196,7 +203,9 @@
             self.forget(stream_id)
             self.hooks.on_cancelled(stream)
 
-    def _terminate(self, event: quic_events.ConnectionTerminated) -> None:
+    def _handle_termination(
+        self, event: quic_events.ConnectionTerminated
+    ) -> None:
         self.closed = True
         for stream_id in tuple(self.streams):
             self._cancel(stream_id)
--- a/packages/keelgap-agent/src/keelgap_agent/quic/flow_table.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/flow_table.py
@@ -1,4 +1,4 @@
-"""The agent's data port: envelopes in, connections, envelopes out."""
+"""The agent's data port, which maps envelopes to connections."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,10 +29,10 @@
 
 
 class Offer(NamedTuple):
-    """A first datagram that admission has to look at."""
+    """A first datagram for which admission has to decide."""
 
     envelope: Envelope
-    #: Balancer through which the caller is reached.
+    #: Balancer through which answers reach the caller.
     via: Address
     header: QuicHeader
     ids: HandshakeIds
@@ -40,7 +40,7 @@
 
 
 class FlowHooks(NamedTuple):
-    """What the flow table asks its driver."""
+    """Callbacks from the flow table to its driver."""
 
     on_offer: Callable[[Offer], None]
     accepts_service: Callable[[int], bool]
@@ -48,7 +48,7 @@
 
 
 class FlowTable:
-    """All flows of one agent, by the connection ids that reach them."""
+    """All flows of one agent, indexed by their connection ids."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         configuration: QuicConfiguration,
         hooks: FlowHooks,
     ) -> None:
-        """Take what the table works with; nothing is bound yet."""
+        """Create an empty table; start() binds its port."""
         self.owner = owner
         self.codec = codec
         self.sender = sender
@@ -69,7 +69,7 @@
         self.return_path = ReturnPath()
         self.by_id: dict[bytes, CallerConnection] = {}
         self.flows: dict[int, CallerConnection] = {}
-        #: Flows whose handshake is not complete.
+        #: Ids of flows whose handshake is not complete.
         self.handshaking: set[int] = set()
         self.next_flow_id = 1
 
@@ -78,21 +78,21 @@
         sock = bind_datagram('listen.data_port', self.owner.agent)
         stack.callback(sock.close)
         self.sender.sock = sock
-        self.loop.add_reader(sock, make_reader(sock, self._read))
+        self.loop.add_reader(sock, make_reader(sock, self._receive))
         stack.callback(self.loop.remove_reader, sock)
         stack.callback(self._stop_timers)
 
     def serve(self, service: int) -> None:
-        """Issue connection ids for the number that the table gives."""
+        """Set the service number that new connection ids carry."""
         self.owner = self.owner._replace(service=service)
         self.validator.owner = self.owner
 
     def count_handshakes(self) -> int:
-        """Return how many flows are not established yet."""
+        """Return the number of flows whose handshake is not complete."""
         return len(self.handshaking)
 
     def take(self, offer: Offer, hooks: ConnectionHooks) -> CallerConnection:
-        """Open a connection for an offer and feed it the first datagram."""
+        """Open and return the connection of an accepted offer."""
         envelope = offer.envelope
         quic = AgentQuicConnection(
             self.configuration,
@@ -118,10 +118,10 @@
         envelope: Envelope,
         via: Address,
     ) -> None:
-        """Hand a datagram to its connection and send what it answers.
+        """Pass a datagram to its connection and send the answers.
 
-        A caller's address may change, as behind a NAT (RFC 9000, 9.3); the
-        connection validates the new one before it relies on it.
+        A caller's address may change, for example behind a NAT (RFC 9000,
+        9.3).  The connection validates a new address before it relies on it.
         """
         connection.via = via
         connection.caller = envelope.caller
@@ -135,7 +135,7 @@
         self.transmit(connection)
 
     def transmit(self, connection: CallerConnection) -> None:
-        """Send what a connection has to send and set its timer anew."""
+        """Send the pending datagrams of a connection and reset its timer."""
         now = self.loop.time()
         via = self.return_path.choose(connection.via, now)
         for datagram, caller in connection.quic.datagrams_to_send(now):
@@ -145,11 +145,11 @@
         self._set_timer(connection)
 
     def forget_id(self, connection_id: bytes) -> None:
-        """Drop a connection id that its caller retired."""
+        """Remove a connection id that its caller retired."""
         self.by_id.pop(connection_id, None)
 
     def forget(self, connection: CallerConnection) -> None:
-        """Drop a connection that has ended."""
+        """Remove a connection that has ended."""
         if connection.timer is not None:
             connection.timer.cancel()
         self.flows.pop(connection.flow_id, None)
@@ -157,13 +157,13 @@
         for connection_id in connection.ids:
             self.by_id.pop(connection_id, None)
 
-    def _read(self, datagram: bytes, sender: tuple[str, int]) -> None:
+    def _receive(self, datagram: bytes, sender: tuple[str, int]) -> None:
         try:
-            self._take_datagram(datagram, Address(*sender))
+            self._handle_datagram(datagram, Address(*sender))
         except WireError as error:
             self.sender.metrics.drops.labels(error.code).inc()
 
-    def _take_datagram(self, datagram: bytes, sender: Address) -> None:
+    def _handle_datagram(self, datagram: bytes, sender: Address) -> None:
         envelope = self.sender.envelopes.open(datagram, sender)
         self.hooks.on_revision_seen(sender, envelope.revision)
         kind = envelope.kind
@@ -188,11 +188,11 @@
         if connection:
             self.feed(connection, envelope, via)
         elif header.may_open_flow:
-            self._offer(envelope, via)
+            self._handle_initial(envelope, via)
         else:
-            self._reset(envelope, header.destination_id, via)
+            self._send_stateless_reset(envelope, header.destination_id, via)
 
-    def _offer(self, envelope: Envelope, via: Address) -> None:
+    def _handle_initial(self, envelope: Envelope, via: Address) -> None:
         initial = handshakes.parse_initial(
             envelope.payload,
             self.configuration,
@@ -213,7 +213,7 @@
         offer = Offer(envelope, via, header, ids, validated)
         self.hooks.on_offer(offer)
 
-    def _reset(
+    def _send_stateless_reset(
         self,
         envelope: Envelope,
         connection_id: bytes,
--- a/packages/keelgap-agent/src/keelgap_agent/quic/handshakes.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/handshakes.py
@@ -1,7 +1,7 @@
-"""Answers to first datagrams that need no connection.
+"""Stateless answers to datagrams without a connection.
 
-Version negotiation, Retry, refusal and stateless reset (RFC 9000, 6, 8.1.2,
-5.2.2 and 10.3).
+These are version negotiation, Retry, refusal and stateless reset (RFC 9000,
+sections 6, 8.1.2, 5.2.2 and 10.3).
 """
 
 import secrets
@@ -41,15 +41,15 @@
     'parse_initial',
 )
 
-_CLOSE_CAPACITY: Final = 32
+_CLOSE_FRAME_CAPACITY: Final = 32
 _MIN_RESET_LENGTH: Final = 21
 _TOKEN_LENGTH: Final = 16
 _FIXED_BIT: Final = 0x40
-_SHORT_MASK: Final = 0x3F
+_SHORT_HEADER_MASK: Final = 0x3F
 
 
 class InvalidToken(MalformedPacket):
-    """A Retry token is forged, expired or of another address."""
+    """A Retry token is forged, expired or was issued to another address."""
 
     code = 'invalid_token'
 
@@ -62,7 +62,7 @@
 
 
 def parse_initial(datagram: bytes, configuration: QuicConfiguration) -> Initial:
-    """Read the header of a first datagram, or raise MalformedPacket."""
+    """Parse the header of a first datagram, or raise MalformedPacket."""
     buf = Buffer(data=datagram)
     try:
         header = pull_quic_header(buf, host_cid_length=CONNECTION_ID_LENGTH)
@@ -78,7 +78,7 @@
     header: QuicHeader,
     configuration: QuicConfiguration,
 ) -> bytes:
-    """Return the datagram that lists the versions spoken here."""
+    """Return a datagram that lists the supported QUIC versions."""
     return encode_quic_version_negotiation(
         source_cid=header.destination_cid,
         destination_cid=header.source_cid,
@@ -87,7 +87,7 @@
 
 
 def make_refusal(header: QuicHeader) -> bytes:
-    """Return an Initial that closes a flow with CONNECTION_REFUSED."""
+    """Return an Initial packet that closes with CONNECTION_REFUSED."""
     version = header.version or 0
     crypto = CryptoPair()
     crypto.setup_initial(
@@ -105,7 +105,7 @@
     builder.start_packet(QuicPacketType.INITIAL, crypto)
     frame = builder.start_frame(
         QuicFrameType.TRANSPORT_CLOSE,
-        capacity=_CLOSE_CAPACITY,
+        capacity=_CLOSE_FRAME_CAPACITY,
     )
     frame.push_uint_var(QuicErrorCode.CONNECTION_REFUSED)
     frame.push_uint_var(QuicFrameType.PADDING)
@@ -115,24 +115,25 @@
 
 
 def make_stateless_reset(datagram: bytes, token: bytes) -> bytes | None:
-    """Return a reset for a packet of a flow that is not known any more.
+    """Return a stateless reset for a packet of an unknown flow.
 
-    It is shorter than the packet, so that two endpoints cannot answer each
-    other's resets for ever.
+    A reset is shorter than the packet that it answers, so that two endpoints
+    cannot answer each other's resets endlessly.  Returns None if the packet
+    is too short for that.
     """
     length = min(len(datagram) - 1, _MIN_RESET_LENGTH * 2)
     if length < _MIN_RESET_LENGTH:
         return None
-    noise = bytearray(secrets.token_bytes(length - _TOKEN_LENGTH))
-    noise[0] = (noise[0] & _SHORT_MASK) | _FIXED_BIT
-    return bytes(noise) + token
+    packet = bytearray(secrets.token_bytes(length - _TOKEN_LENGTH))
+    packet[0] = (packet[0] & _SHORT_HEADER_MASK) | _FIXED_BIT
+    return bytes(packet) + token
 
 
 class AddressValidator:
-    """Retry packets that name this agent, and the check of their tokens."""
+    """Issue Retry packets and check their tokens."""
 
     def __init__(self, codec: ConnectionIdCodec, owner: FlowOwner) -> None:
-        """Issue Retry ids as connection ids, so that they route back here."""
+        """Encode the owner in Retry ids, so that they route to this agent."""
         self.codec = codec
         self.owner = owner
         self.tokens = QuicRetryTokenHandler()
@@ -143,7 +144,7 @@
         caller: Address,
         now: float,
     ) -> bytes:
-        """Return the Retry packet that answers a first datagram."""
+        """Return a Retry packet that answers a first datagram."""
         retry_source = self.codec.issue(self.owner)
         return encode_quic_retry(
             version=header.version or 0,
@@ -166,7 +167,7 @@
     ) -> HandshakeIds:
         """Return the ids of a handshake that answers a Retry.
 
-        Raises InvalidToken if the token was not made for this caller.
+        Raises InvalidToken if the token was not issued to this caller.
         """
         try:
             original = self.tokens.validate_token(
--- a/packages/keelgap-agent/src/keelgap_agent/quic/protocol.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/protocol.py
@@ -1,9 +1,9 @@
-"""The agent's QUIC connection: all use of aioquic's private names.
+"""The agent's QUIC connection, which uses private names of aioquic.
 
-aioquic offers no public way to choose connection ids, to tie credit to what
-the application took, to see what a stream still has to send, or to send
-GOAWAY.  This module does so for the pinned version; tests/agent/test_quic.py
-fails at once if a later version moves a name.
+aioquic has no public interface to choose connection ids, to tie flow control
+to what the application consumed, to query the unsent data of a stream, or to
+send GOAWAY.  All use of private names is in this module and depends on the
+pinned version; tests/agent/test_quic.py fails if a later version changes one.
 """
 
 from collections import deque
@@ -21,23 +21,24 @@
 
 __all__ = ('AgentQuicConnection', 'HandshakeIds', 'send_goaway')
 
-#: Octets that a caller may send ahead of what the upstream took.
+#: Octets that a caller may send on a stream ahead of what the upstream
+#: consumed.
 STREAM_WINDOW: Final = 262144
 #: The same for all streams of one connection.
 CONNECTION_WINDOW: Final = 1048576
 
 
 class HandshakeIds:
-    """Connection ids that a handshake started with (RFC 9000, 7.3)."""
+    """Connection ids that a handshake authenticates (RFC 9000, 7.3)."""
 
     def __init__(self, original: bytes, retry_source: bytes | None) -> None:
-        """Take the caller's first id, and that of a Retry if one was sent."""
+        """Take the caller's first id and that of the Retry, if any was sent."""
         self.original = original
         self.retry_source = retry_source
 
 
 class AgentQuicConnection(QuicConnection):
-    """A server connection whose ids name this agent."""
+    """A server connection whose connection ids encode this agent."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         codec: ConnectionIdCodec,
         owner: FlowOwner,
     ) -> None:
-        """Replace the random first id by one that names the owner."""
+        """Replace the random first id by one that encodes the owner."""
         super().__init__(
             configuration=configuration,
             original_destination_connection_id=ids.original,
@@ -54,27 +55,27 @@
         )
         self.codec = codec
         self.owner = owner
-        #: Ids issued since the driver last looked.
+        #: Ids issued and not yet registered in the flow table.
         self.issued: deque[bytes] = deque()
-        self.taken_by_stream: dict[int, int] = {}
-        self.taken = 0
+        self.consumed_by_stream: dict[int, int] = {}
+        self.consumed = 0
         first = self._host_cids[0]
-        self._name_owner(first)
+        self._assign_owned_id(first)
         self.host_cid = first.cid
         self._local_initial_source_connection_id = first.cid
 
     def take_credit(self, stream_id: int, count: int) -> None:
-        """Record octets that the upstream took; raises the caller's credit."""
-        self.taken += count
-        taken = self.taken_by_stream.get(stream_id, 0)
-        self.taken_by_stream[stream_id] = taken + count
+        """Record consumed octets, which raises the caller's flow control."""
+        self.consumed += count
+        consumed = self.consumed_by_stream.get(stream_id, 0)
+        self.consumed_by_stream[stream_id] = consumed + count
 
     def forget_stream(self, stream_id: int) -> None:
-        """Drop what is kept for a stream that ended."""
-        self.taken_by_stream.pop(stream_id, None)
+        """Remove the flow control state of a stream that ended."""
+        self.consumed_by_stream.pop(stream_id, None)
 
     def count_unsent(self, stream_id: int) -> int:
-        """Return the octets of a stream that the caller has yet to confirm."""
+        """Return the octets of a stream that are not acknowledged."""
         stream = self._streams.get(stream_id)
         if stream is None:
             return 0
@@ -86,7 +87,7 @@
         """Return whether the handshake is complete."""
         return self._handshake_complete
 
-    def _name_owner(self, host_id: QuicConnectionId) -> None:
+    def _assign_owned_id(self, host_id: QuicConnectionId) -> None:
         host_id.cid = self.codec.issue(self.owner)
         host_id.stateless_reset_token = self.codec.compute_reset_token(
             host_id.cid,
@@ -97,17 +98,17 @@
         known = len(self._host_cids)
         super()._replenish_connection_ids()
         for host_id in self._host_cids[known:]:
-            self._name_owner(host_id)
+            self._assign_owned_id(host_id)
 
     def _write_connection_limits(
         self,
         builder: QuicPacketBuilder,
         space: QuicPacketSpace,
     ) -> None:
-        # aioquic doubles the window by what arrived; hide that count, so that
-        # only what the upstream took raises it.
+        # aioquic doubles the window depending on the octets received.  Hide
+        # that count, so that only consumed octets raise the limit.
         limit = self._local_max_data
-        limit.value = max(limit.value, self.taken + CONNECTION_WINDOW)
+        limit.value = max(limit.value, self.consumed + CONNECTION_WINDOW)
         used = limit.used
         limit.used = 0
         super()._write_connection_limits(builder, space)
@@ -119,10 +120,11 @@
         space: QuicPacketSpace,
         stream: QuicStream,
     ) -> None:
-        taken = self.taken_by_stream.get(stream.stream_id or 0, 0)
+        consumed = self.consumed_by_stream.get(stream.stream_id or 0, 0)
         if stream.max_stream_data_local:
-            granted = taken + STREAM_WINDOW
-            # A frame for each packet taken would be wasteful: wait for half.
+            granted = consumed + STREAM_WINDOW
+            # Send an update only for half a window or more: a frame for each
+            # consumed packet would be wasteful.
             if granted - stream.max_stream_data_local >= STREAM_WINDOW // 2:
                 stream.max_stream_data_local = granted
         highest = stream.receiver.highest_offset
--- a/packages/keelgap-agent/src/keelgap_agent/quic/return_path.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/return_path.py
@@ -1,4 +1,4 @@
-"""Through which balancer a datagram returns to its caller."""
+"""Choice of the balancer through which datagrams return to a caller."""
 
 from collections.abc import Collection
 from typing import Final
@@ -7,66 +7,74 @@
 
 __all__ = ('TRY_SECONDS', 'ReturnPath')
 
-#: A balancer heard within this time, in seconds, is taken to be live.
-_FRESH_SECONDS: Final = 1.0
-#: Balancers not heard for this time, in seconds, are forgotten.
-_FORGET_SECONDS: Final = 60.0
-#: With none heard lately each is tried for so long, in seconds: one probe
-#: timeout of a connection between availability zones (RFC 9002, 6.2), so that
-#: something is sent through each.
+#: A balancer that sent something within this time, in seconds, counts as live.
+_LIVE_SECONDS: Final = 1.0
+#: Balancers that have been silent for this time, in seconds, are removed.
+_RETENTION_SECONDS: Final = 60.0
+#: If no balancer counts as live, each is used in turn for this time, in
+#: seconds.  It is one probe timeout of a connection between availability zones
+#: (RFC 9002, 6.2), so that at least one datagram is sent through each.
 TRY_SECONDS: Final = 0.25
 
 
 class ReturnPath:
-    """The balancers that this agent heard, and when."""
+    """The balancers that this agent may use, and when each last sent."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self.heard: dict[Address, float] = {}
-        self.leaving: dict[Address, float] = {}
-        #: Live balancers by the platform's list, which lags.
+        """Start without balancers."""
+        self.last_heard_at: dict[Address, float] = {}
+        self.leaving_since: dict[Address, float] = {}
+        #: Live balancers according to the instance list, which lags.
         self.listed: tuple[Address, ...] = ()
 
     def note_heard(self, balancer: Address, now: float) -> None:
-        """Record an authentic datagram from a balancer."""
-        self.heard[balancer] = now
+        """Record that a balancer sent an authentic datagram."""
+        self.last_heard_at[balancer] = now
 
     def note_leaving(self, balancer: Address, now: float) -> None:
-        """Record that a balancer asked not to be used any more."""
-        self.leaving[balancer] = now
+        """Record that a balancer asked not to be used anymore."""
+        self.leaving_since[balancer] = now
 
     def note_listed(self, balancers: Collection[Address]) -> None:
-        """Take the live balancers of the platform's latest list."""
+        """Record the live balancers of the latest instance list."""
         self.listed = tuple(sorted(balancers))
 
     def choose(self, last: Address, now: float) -> Address:
-        """Return the balancer that the flow last came from, or a live one.
+        """Return the balancer that last forwarded the flow, or a live one.
 
-        The last one is used as long as it is fresh; else the one that was
-        heard latest, whichever flow it was that it forwarded.  When none was
-        heard lately, all may be dead that ever sent something here, and a
-        caller who only listens leads to no other: then all known ones are
-        tried by turns, until an acknowledgement comes through one.
+        The last one is used while it counts as live, otherwise the one that
+        sent most recently, for whichever flow.  If none counts as live, all
+        that ever sent something here may be dead, and a caller that only
+        receives does not lead to another.  Then all known balancers are used
+        in turn until an acknowledgement arrives through one of them.
         """
-        fresh = now - self._heard_at(last) < _FRESH_SECONDS
-        if fresh and last not in self.leaving:
+        is_live = now - self._get_last_heard_at(last) < _LIVE_SECONDS
+        if is_live and last not in self.leaving_since:
             return last
-        known = dict.fromkeys((*self.heard, *self.listed))
-        others = [one for one in known if one not in self.leaving]
+        balancers = dict.fromkeys((*self.last_heard_at, *self.listed))
+        others = [
+            balancer
+            for balancer in balancers
+            if balancer not in self.leaving_since
+        ]
         if not others:
             return last
-        others.sort(key=self._heard_at, reverse=True)
-        if now - self._heard_at(others[0]) < _FRESH_SECONDS:
+        others.sort(key=self._get_last_heard_at, reverse=True)
+        if now - self._get_last_heard_at(others[0]) < _LIVE_SECONDS:
             return others[0]
         return others[int(now / TRY_SECONDS) % len(others)]
 
     def forget_old(self, now: float) -> None:
-        """Drop balancers that have been silent for long."""
-        oldest = now - _FORGET_SECONDS
-        for table in (self.heard, self.leaving):
-            stale = [key for key, seen in table.items() if seen < oldest]
+        """Remove balancers that have been silent for too long."""
+        oldest_kept = now - _RETENTION_SECONDS
+        for table in (self.last_heard_at, self.leaving_since):
+            stale = [
+                key
+                for key, recorded_at in table.items()
+                if recorded_at < oldest_kept
+            ]
             for key in stale:
                 table.pop(key)
 
-    def _heard_at(self, balancer: Address) -> float:
-        return self.heard.get(balancer, float('-inf'))
+    def _get_last_heard_at(self, balancer: Address) -> float:
+        return self.last_heard_at.get(balancer, float('-inf'))
--- a/packages/keelgap-agent/src/keelgap_agent/quic/sender.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/sender.py
@@ -1,4 +1,4 @@
-"""Envelopes that an agent sends from its data port."""
+"""Sender of envelopes from the agent's data port."""
 
 import socket
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class EnvelopeSender:
-    """Seal envelopes and send them; counts what could not be sent."""
+    """Seal and send envelopes, and count those that could not be sent."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         get_revision: Callable[[], int],
         get_service: Callable[[], int],
     ) -> None:
-        """Take what to send with; the flow table brings the socket."""
+        """Take the codec and the metrics; the flow table sets the socket."""
         self.envelopes = envelopes
         self.metrics = metrics
         self.get_revision = get_revision
@@ -34,7 +34,7 @@
         caller: tuple[str, int],
         datagram: bytes,
     ) -> None:
-        """Return a datagram to a caller through a balancer."""
+        """Send a datagram to a caller through a balancer."""
         envelope = Envelope(
             MessageKind.RETURN,
             self.get_service(),
@@ -55,7 +55,7 @@
             self.metrics.drops.labels('send_failed').inc()
 
     def acknowledge(self, balancer: Address) -> None:
-        """Tell a balancer that its datagram arrived."""
+        """Acknowledge a probe or a first datagram to a balancer."""
         kind = MessageKind.PROBE_REPLY
         revision = self.get_revision()
         self.send(balancer, Envelope(kind, 0, revision))
--- a/packages/keelgap-agent/src/keelgap_agent/quic/streams.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/streams.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its HTTP/3 stream."""
+"""Requests of callers on HTTP/3 streams."""
 
 import asyncio
 import math
@@ -19,25 +19,26 @@
 
 __all__ = ('CallerStream', 'StreamPort')
 
-#: Unsent octets of an answer above which the upstream has to wait.
+#: Unacknowledged octets of an answer above which reading from the upstream
+#: pauses.
 _MAX_UNSENT: Final = 262144
-_DEADLINE: Final = b'keelgap-deadline'
+_DEADLINE_HEADER: Final = b'keelgap-deadline'
 
 
 class StreamPort(NamedTuple):
-    """What a stream needs of the connection that it belongs to."""
+    """The part of a connection that its streams use."""
 
     flow_id: int
     quic: AgentQuicConnection
     http: H3Connection
-    #: Called after anything that may have left datagrams to send.
+    #: Called after any operation that may have produced datagrams to send.
     transmit: Callable[[], None]
-    #: Called once the stream has its final answer.
+    #: Called when the stream is answered or reset.
     forget: Callable[[int], None]
 
 
 class CallerStream:
-    """One request of a caller; an Exchange."""
+    """One request of a caller; implements Exchange."""
 
     def __init__(
         self,
@@ -46,13 +47,13 @@
         request_id: int,
         headers: HeaderPairs,
     ) -> None:
-        """Read the head of a request."""
+        """Parse the head of a request."""
         self.port = port
         self.stream_id = stream_id
         self.request_id = request_id
-        self.body = BodyBuffer(self._take)
+        self.body = BodyBuffer(self._record_consumed)
         self.announced = False
-        #: Whether the wait for a body of unknown length is over.
+        #: Whether BODY_WAIT_SECONDS have passed for a body of unknown length.
         self.waited = False
         self.head_sent = False
         self.closed = False
@@ -63,42 +64,43 @@
             fields.get(b':path', b'').decode('latin-1'),
             _make_upstream_headers(headers),
         )
-        self.expected = _read_number(fields.get(b'content-length'))
+        self.expected_length = _read_number(fields.get(b'content-length'))
         key = fields.get(b'idempotency-key')
         self.head = RequestHead(
             self.lines.method,
             self.lines.path,
             key.decode('latin-1') if key else None,
             digest_caller(fields.get(b'authorization', b'')),
-            _read_number(fields.get(_DEADLINE)),
+            _read_number(fields.get(_DEADLINE_HEADER)),
             portable=False,
         )
 
     @property
     def is_ready(self) -> bool:
-        """Return whether admission may look at the request.
+        """Return whether the request can be submitted to admission.
 
-        A short body is awaited first, so that it can go to another agent;
-        one of unknown length only for BODY_WAIT_SECONDS.
+        A short body must be complete first, so that the request can be passed
+        on to another agent.  A body of unknown length is awaited for
+        BODY_WAIT_SECONDS only.
         """
         if self.body.ended or self.waited:
             return True
-        return max(self.expected or 0, self.body.size) > PORTABLE_OCTETS
+        return max(self.expected_length or 0, self.body.size) > PORTABLE_OCTETS
 
     def announce(
         self,
         on_request: Callable[['CallerStream'], None],
     ) -> None:
-        """Hand the request to admission, once."""
+        """Submit the request to admission once it is ready."""
         if self.announced or not self.is_ready:
             return
         self.announced = True
-        whole = self.body.ended and self.body.size <= PORTABLE_OCTETS
-        self.head = self.head._replace(portable=whole)
+        is_portable = self.body.ended and self.body.size <= PORTABLE_OCTETS
+        self.head = self.head._replace(portable=is_portable)
         on_request(self)
 
     def send_head(self, status: int, headers: HeaderPairs) -> None:
-        """Start the answer."""
+        """Send the head of the answer."""
         self._send_headers(status, headers, ended=False)
 
     async def send_part(self, part: bytes) -> None:
@@ -118,7 +120,7 @@
             self._close()
 
     def refuse(self, problem: Problem) -> None:
-        """Answer with a problem, or break off an answer that was begun."""
+        """Answer with a problem, or reset an answer that was started."""
         if self.closed:
             return
         if self.head_sent:
@@ -128,17 +130,17 @@
         self._answer(problem.kind.status, headers, body)
 
     def reject(self) -> None:
-        """Refuse a request after GOAWAY: it was not processed."""
+        """Reset a request after GOAWAY as not processed."""
         self._reset(ErrorCode.H3_REQUEST_REJECTED)
 
     def answer_whole(self, answer: StoredAnswer) -> None:
-        """Answer with what is stored."""
+        """Send a complete answer."""
         if not self.closed:
             headers = list(answer.headers)
             self._answer(answer.status, headers, answer.body or b'')
 
     def abandon(self) -> None:
-        """Stop the exchange: the caller broke it off or is gone."""
+        """Stop the exchange after the caller cancelled it or left."""
         self.closed = True
         self.body.cancel()
         self.room.set()
@@ -166,7 +168,7 @@
     def _close(self) -> None:
         self.closed = True
         if not self.body.ended:
-            # RFC 9114, 4.1: the rest of the request is not wanted.
+            # The rest of the request is not needed (RFC 9114, 4.1).
             self.port.quic.stop_stream(self.stream_id, ErrorCode.H3_NO_ERROR)
         self.port.forget(self.stream_id)
         self.port.transmit()
@@ -180,7 +182,7 @@
         self.port.forget(self.stream_id)
         self.port.transmit()
 
-    def _take(self, count: int) -> None:
+    def _record_consumed(self, count: int) -> None:
         if not self.closed:
             self.port.quic.take_credit(self.stream_id, count)
             self.port.transmit()
@@ -190,7 +192,7 @@
 
 
 def _read_number(text: bytes | None) -> float | None:
-    """Return a number of 0 or more; None for anything else, NaN too."""
+    """Return a finite number of 0 or more, or None for any other text."""
     try:
         number = float(text) if text else math.nan
     except ValueError:
@@ -205,6 +207,6 @@
     regular = [
         (name, text)
         for name, text in headers
-        if not name.startswith(b':') and name not in {b'host', _DEADLINE}
+        if not name.startswith(b':') and name not in {b'host', _DEADLINE_HEADER}
     ]
     return [*authority, *regular]
