--- a/packages/keelgap-agent/src/keelgap_agent/requests/__init__.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a request: admission, at most once, its answer."""
+"""Requests: admission, at-most-once execution and final answers."""
--- a/packages/keelgap-agent/src/keelgap_agent/requests/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/admission.py
@@ -1,4 +1,4 @@
-"""Slots, queue and shedding: when a request starts, if at all."""
+"""Admission of requests: slots, queue and load shedding."""
 
 from bisect import insort
 
@@ -27,29 +27,29 @@
 
 
 def admit(state: AgentState, request: Request, now: float) -> Effects:
-    """Start a request, pass it to another agent, queue it or refuse it."""
+    """Start a request, pass it on to another agent, queue or refuse it."""
     if state.is_leaving:
-        return _pass_or_refuse(state, request, now, 'leaving')
+        return _pass_on_or_refuse(state, request, now, 'leaving')
     if state.is_down(now):
-        return _pass_or_refuse(state, request, now, 'upstream_down')
+        return _pass_on_or_refuse(state, request, now, 'upstream_down')
     if not request.traffic_class.takes_slot:
         return _start(state, request, now)
     if state.busy < state.count_slots(now) and not state.queue:
         return _start(state, request, now)
     if request.run_only:
         return refuse(state, request, 'busy', 0)
-    passed = pass_to_peer(state, request, now)
-    return passed or _enqueue(state, request, now)
+    passed_on = pass_to_peer(state, request, now)
+    return passed_on or _enqueue(state, request, now)
 
 
-def _pass_or_refuse(
+def _pass_on_or_refuse(
     state: AgentState,
     request: Request,
     now: float,
     reason: str,
 ) -> Effects:
-    passed = pass_to_peer(state, request, now)
-    return passed or refuse(state, request, reason, 0)
+    passed_on = pass_to_peer(state, request, now)
+    return passed_on or refuse(state, request, reason, 0)
 
 
 def pass_to_peer(
@@ -57,13 +57,13 @@
     request: Request,
     now: float,
 ) -> Effects:
-    """Have another agent run a request that has not started, once.
+    """Pass a request that has not started on to another agent, once.
 
-    A share of first attempts pays for it, so that an overload of the whole
-    service does not double its own load.
+    A budget earned by first attempts limits this, so that an overload of the
+    whole service does not double its load.
     """
-    movable = request.portable and not request.from_peer
-    if request.moved or not movable or state.budget < 1:
+    may_be_passed_on = request.portable and not request.from_peer
+    if request.moved or not may_be_passed_on or state.budget < 1:
         return ()
     peer = choose_peer(state)
     if peer is None:
@@ -86,24 +86,24 @@
     effects: Effects = ()
     if len(state.queue) >= limit:
         last = state.queue[-1] if state.queue else request
-        if _order(last) <= _order(request):
+        if _get_sort_key(last) <= _get_sort_key(request):
             return refuse(state, request, 'queue_full', wait)
         state.queue.pop()
         effects = refuse(state, last, 'displaced', wait)
     request.phase = Phase.QUEUED
-    insort(state.queue, request, key=_order)
+    insort(state.queue, request, key=_get_sort_key)
     return effects
 
 
-def _order(request: Request) -> tuple[int, float, int]:
+def _get_sort_key(request: Request) -> tuple[int, float, int]:
     priority = request.traffic_class.priority
     return (priority, request.arrived, request.request_id)
 
 
 def estimate_wait(state: AgentState, request: Request, now: float) -> float:
-    """Return the seconds until a request would get a slot."""
-    order = _order(request)
-    ahead = sum(_order(other) < order for other in state.queue)
+    """Return the estimated seconds until a request would get a slot."""
+    sort_key = _get_sort_key(request)
+    ahead = sum(_get_sort_key(other) < sort_key for other in state.queue)
     slots = max(1, state.count_slots(now))
     return (ahead + 1) * state.service_seconds / slots
 
@@ -125,16 +125,18 @@
 
 
 def release(state: AgentState, request: Request, now: float) -> None:
-    """Free the slot of a request that ended."""
+    """Free the slot of a request that ended and record its service time."""
     if request.phase is Phase.RUNNING and request.traffic_class.takes_slot:
         state.busy -= 1
-        weight = defaults.SERVICE_TIME_SMOOTHING
-        newest = now - request.started
-        state.service_seconds += weight * (newest - state.service_seconds)
+        smoothing = defaults.SERVICE_TIME_SMOOTHING
+        service_time = now - request.started
+        state.service_seconds += smoothing * (
+            service_time - state.service_seconds
+        )
 
 
 def start_waiting(state: AgentState, now: float) -> Effects:
-    """Give free slots to those who wait, the most important first."""
+    """Start queued requests in free slots, in order of priority."""
     effects: list[AgentEffect] = []
     slots = state.count_slots(now)
     while state.queue and state.busy < slots:
@@ -147,7 +149,7 @@
 
 
 def drop_expired(state: AgentState, now: float) -> Effects:
-    """Refuse requests at once when their deadline passes in the queue."""
+    """Refuse queued requests whose deadline has passed."""
     expired = [request for request in state.queue if request.deadline_at <= now]
     effects: list[AgentEffect] = []
     for request in expired:
--- a/packages/keelgap-agent/src/keelgap_agent/requests/exchanges.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/exchanges.py
@@ -1,4 +1,4 @@
-"""A request in the driver: its head, its body and where its answer goes."""
+"""The driver's interface to a request and to the sender of that request."""
 
 from typing import NamedTuple, Protocol
 
@@ -12,7 +12,7 @@
 
 
 class RequestLines(NamedTuple):
-    """What is sent to an upstream ahead of the body."""
+    """The request line and headers that are sent to the upstream."""
 
     method: str
     path: str
@@ -20,7 +20,7 @@
 
 
 class Exchange(Protocol):
-    """One request and the way back to whoever sent it."""
+    """One request of a caller or a peer, which can be answered."""
 
     request_id: int
     head: RequestHead
@@ -28,7 +28,7 @@
     body: BodyBuffer
 
     def send_head(self, status: int, headers: HeaderPairs) -> None:
-        """Start the answer."""
+        """Send the head of the answer."""
 
     async def send_part(self, part: bytes) -> None:
         """Send a part of the answer; wait while too much is unsent."""
@@ -37,7 +37,7 @@
         """End the answer."""
 
     def refuse(self, problem: Problem) -> None:
-        """Answer with a problem, or break off an answer that was begun."""
+        """Answer with a problem, or abort an answer that was started."""
 
     def answer_whole(self, answer: StoredAnswer) -> None:
-        """Answer with what is stored."""
+        """Send a complete answer."""
--- a/packages/keelgap-agent/src/keelgap_agent/requests/keyed.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/keyed.py
@@ -1,4 +1,7 @@
-"""Requests that must run at most once: settle each key at its issuer."""
+"""Requests with an idempotency key, which run at most once.
+
+Only the agent that issued the ticket of a key decides about the key.
+"""
 
 from keelgap.addresses import Address
 from keelgap_agent import defaults
@@ -45,7 +48,7 @@
     head: RequestHead,
     now: float,
 ) -> Effects:
-    """Answer with a ticket that this incarnation will honour."""
+    """Answer with a ticket that is valid at this incarnation."""
     service = state.service
     if service is None or state.is_leaving or state.ledger.is_full:
         return _refuse_with(state, request, LEDGER_FULL, 'no_ticket')
@@ -69,7 +72,7 @@
     head: RequestHead,
     now: float,
 ) -> Effects:
-    """Run a keyed request, repeat its outcome, or ask its issuer."""
+    """Admit a keyed request, repeat its outcome, or ask its issuer."""
     if head.key is None:
         return _refuse_with(state, request, TICKET_REQUIRED, 'no_key')
     try:
@@ -78,15 +81,15 @@
         return _refuse_with(state, request, MALFORMED_KEY, 'malformed_key')
     except TicketRefused:
         return _refuse_with(state, request, TICKET_REFUSED, 'forged')
-    stranger = _find_stranger(state, head, ticket)
-    if stranger is not None:
-        return _refuse_with(state, request, TICKET_REFUSED, stranger)
+    mismatch = _find_mismatch(state, head, ticket)
+    if mismatch is not None:
+        return _refuse_with(state, request, TICKET_REFUSED, mismatch)
     if ticket.issuer != state.identity.control:
         return _ask_issuer(state, request, ticket.issuer, now)
     if ticket.incarnation != state.identity.incarnation:
         return _refuse_with(state, request, OUTCOME_UNKNOWN, 'restarted')
     key = LedgerKey(ticket.serial, ticket.caller, suffix)
-    return _settle_own(state, request, (key, ticket), now)
+    return _admit_own_key(state, request, (key, ticket), now)
 
 
 def _read_key(state: AgentState, text: str) -> tuple[Ticket, str]:
@@ -94,7 +97,7 @@
     return state.tickets.decode(ticket_text), suffix
 
 
-def _find_stranger(
+def _find_mismatch(
     state: AgentState,
     head: RequestHead,
     ticket: Ticket,
@@ -106,16 +109,16 @@
     return None
 
 
-def _settle_own(
+def _admit_own_key(
     state: AgentState,
     request: Request,
-    claim: tuple[LedgerKey, Ticket],
+    key_and_ticket: tuple[LedgerKey, Ticket],
     now: float,
 ) -> Effects:
-    key, ticket = claim
+    key, ticket = key_and_ticket
     entry = state.ledger.find(key)
     if entry is not None:
-        return _repeat(state, request, key, entry)
+        return _repeat_outcome(state, request, key, entry)
     expires_at = state.identity.started + ticket.expiry
     if now >= expires_at:
         return _refuse_with(state, request, TICKET_EXPIRED, 'expired')
@@ -129,7 +132,7 @@
     return admit(state, request, now)
 
 
-def _repeat(
+def _repeat_outcome(
     state: AgentState,
     request: Request,
     key: LedgerKey,
@@ -160,7 +163,7 @@
     now: float,
 ) -> Effects:
     if request.from_peer:
-        # Only the issuer itself is ever asked: an ask is not passed on.
+        # Agents ask only the issuer itself and never forward an ask.
         return _refuse_with(state, request, TICKET_REFUSED, 'not_issuer')
     request.phase = Phase.ASKING
     request.issuer = issuer
@@ -175,7 +178,7 @@
 
 
 def ask_issuers_again(state: AgentState, now: float) -> Effects:
-    """Repeat asks without an answer, and give up on the hopeless ones."""
+    """Repeat unanswered asks, and refuse requests that waited too long."""
     asking = [
         request
         for request in state.asked.values()
@@ -191,10 +194,10 @@
     issuer = request.issuer
     if issuer is None:
         return ()
-    waited = now - request.arrived
-    if waited >= defaults.ASK_TIMEOUT_SECONDS or now >= request.deadline_at:
-        gone = not is_listed(state, issuer)
-        kind = OUTCOME_UNKNOWN if gone else OUTCOME_PENDING
+    elapsed = now - request.arrived
+    if elapsed >= defaults.ASK_TIMEOUT_SECONDS or now >= request.deadline_at:
+        issuer_is_gone = not is_listed(state, issuer)
+        kind = OUTCOME_UNKNOWN if issuer_is_gone else OUTCOME_PENDING
         return _refuse_with(state, request, kind, 'issuer_silent')
     if now - request.asked_at < defaults.ASK_RETRY_SECONDS:
         return ()
--- a/packages/keelgap-agent/src/keelgap_agent/requests/ledger.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger: which keyed requests ran, run, or must never run.
+"""The ledger, which records the state and outcome of keyed requests.
 
-It lives and dies with the agent's incarnation, as do the tickets.  When it is
-full it forgets nothing: it raises a floor under which no ticket may start a
-request any more, so that "not run" stays true for every refused key.
+It is valid for one incarnation of the agent, as tickets are.  A full ledger
+evicts nothing.  Instead it raises the minimum serial of tickets that may start
+a request, so that an answer of "not run" stays true for every refused key.
 """
 
 from collections import deque
@@ -16,7 +16,7 @@
 
 
 class LedgerKey(NamedTuple):
-    """What identifies a request at the agent that issued its ticket."""
+    """Identifier of a request at the agent that issued its ticket."""
 
     serial: int
     caller: bytes
@@ -24,27 +24,27 @@
 
 
 class EntryState(Enum):
-    """What is known of a keyed request."""
+    """States of a keyed request."""
 
     ADMITTED = 'admitted'
     ANSWERED = 'answered'
-    #: It was not run and never will be.
+    #: It was not run and must never run.
     TOMBSTONE = 'tombstone'
-    #: The upstream broke off while it ran.
+    #: The upstream failed while it ran.
     BROKEN = 'broken'
 
 
 class LedgerEntry:
-    """One keyed request."""
+    """The state and outcome of one keyed request."""
 
     __slots__ = ('answer', 'expires_at', 'state', 'waiters')
 
     def __init__(self, state: EntryState, expires_at: float) -> None:
-        """Start in a state, to be forgotten at a time."""
+        """Create an entry that may be removed after it expires."""
         self.state = state
         self.expires_at = expires_at
         self.answer: StoredAnswer | None = None
-        #: Later attempts with the same key that wait for the outcome.
+        #: Ids of later attempts with the same key that wait for the outcome.
         self.waiters: list[int] = []
 
 
@@ -52,12 +52,12 @@
     """All keyed requests of one incarnation."""
 
     def __init__(self, capacity: int) -> None:
-        """Start empty, for at most so many entries."""
+        """Create an empty ledger with a maximum number of entries."""
         self.capacity = capacity
         self.entries: dict[LedgerKey, LedgerEntry] = {}
         self.expiries: deque[tuple[float, LedgerKey]] = deque()
         self.next_serial = 1
-        #: Tickets with a lower serial may not start anything.
+        #: Tickets with a lower serial may not start a request.
         self.floor = 0
 
     @property
@@ -66,21 +66,24 @@
         return len(self.entries) >= self.capacity
 
     def take_serial(self) -> int:
-        """Return the serial of a new ticket."""
+        """Return an unused serial for a new ticket."""
         serial = self.next_serial
         self.next_serial += 1
         return serial
 
     def find(self, key: LedgerKey) -> LedgerEntry | None:
-        """Return the entry of a key, if there is one."""
+        """Return the entry of a key, or None."""
         return self.entries.get(key)
 
     def admit(self, key: LedgerKey, expires_at: float) -> None:
-        """Record that a request may start."""
+        """Add an entry for a request that may start."""
         self._add(key, LedgerEntry(EntryState.ADMITTED, expires_at))
 
     def bury(self, key: LedgerKey, expires_at: float) -> None:
-        """Record that a request was not run and must never run."""
+        """Record that a request was not run and must never run.
+
+        A full ledger revokes all tickets issued so far instead.
+        """
         entry = self.entries.get(key)
         if entry:
             entry.state = EntryState.TOMBSTONE
@@ -95,14 +98,14 @@
         state: EntryState,
         answer: StoredAnswer | None,
     ) -> list[int]:
-        """Record the outcome; return the attempts that wait for it."""
+        """Record the outcome and return the ids of waiting attempts."""
         entry = self.entries[key]
         entry.state = state
         entry.answer = answer
         return self.take_waiters(key)
 
     def take_waiters(self, key: LedgerKey) -> list[int]:
-        """Return the attempts that wait for a key, and forget them."""
+        """Remove and return the ids of attempts that wait for a key."""
         entry = self.entries.get(key)
         if entry is None:
             return []
@@ -111,15 +114,15 @@
         return waiters
 
     def raise_floor(self) -> None:
-        """Make every ticket issued so far unable to start a request."""
+        """Prevent all tickets issued so far from starting a request."""
         self.floor = self.next_serial
 
     def forget_expired(self, now: float) -> None:
-        """Drop the entries whose time has come."""
+        """Remove expired entries, except those of running requests."""
         for key in list(self._list_expired(now)):
             entry = self.entries[key]
             if entry.state is EntryState.ADMITTED:
-                # Still running: keep it for another round.
+                # Still running: check it again on the next call.
                 self.expiries.append((now, key))
             else:
                 self.entries.pop(key)
--- a/packages/keelgap-agent/src/keelgap_agent/requests/lifecycle.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request, from its arrival to its final answer."""
+"""The lifecycle of a request, from its arrival to its final answer."""
 
 from typing import Final
 
@@ -43,14 +43,14 @@
 
 Effects = tuple[AgentEffect, ...]
 
-#: Where a caller gets a ticket, once a connection.
+#: Path from which callers fetch one ticket per connection.
 TICKET_PATH: Final = '/.well-known/keelgap/ticket'
 _SAFE_METHODS: Final = frozenset(('GET', 'HEAD', 'OPTIONS'))
-_UNAVAILABLE: Final = 503
+_SERVICE_UNAVAILABLE: Final = 503
 
 
 def arrive(state: AgentState, event: RequestArrived) -> Effects:
-    """Take a caller's request."""
+    """Handle the arrival of a caller's request."""
     request = _make_request(state, event, event.flow_id)
     state.flows[event.flow_id] = state.flows.get(event.flow_id, 0) + 1
     state.budget = min(
@@ -65,7 +65,7 @@
 
 
 def ask(state: AgentState, event: PeerAsked) -> Effects:
-    """Take a request that another agent passes on or asks about."""
+    """Handle a request that another agent passes on or asks about."""
     request = _make_request(state, event, None)
     request.run_only = event.run_only
     if event.run_only:
@@ -93,10 +93,11 @@
 
 
 def cancel(state: AgentState, event: RequestCancelled) -> Effects:
-    """Stop what has not started; let a started keyed request run to its end.
+    """Drop or abort a request, unless its outcome is still needed.
 
-    The reducer takes one event after the other, so a cancellation finds a
-    request either before its start or after it, never in between.
+    A keyed request that has started, or for which other attempts wait, runs
+    to its end.  The reducer handles events one at a time, so a cancellation
+    is handled either before the start of its request or after it.
     """
     request = state.requests.get(event.request_id)
     if request is None or request.detached:
@@ -106,7 +107,7 @@
         settle_silently(state, request.request_id)
         return ()
     if request.key is not None:
-        return _cancel_keyed(state, request)
+        return _cancel_keyed_request(state, request)
     if request.phase is Phase.RUNNING:
         request.detached = True
         leave_flow(state, request)
@@ -116,10 +117,10 @@
     return ()
 
 
-def _cancel_keyed(state: AgentState, request: Request) -> Effects:
+def _cancel_keyed_request(state: AgentState, request: Request) -> Effects:
     entry = state.ledger.find(request.key) if request.key else None
-    waited_for = entry is not None and entry.waiters
-    if request.phase is Phase.QUEUED and request.key and not waited_for:
+    has_waiters = entry is not None and entry.waiters
+    if request.phase is Phase.QUEUED and request.key and not has_waiters:
         _leave_queue(state, request)
         state.ledger.bury(request.key, request.key_expires_at)
         settle_silently(state, request.request_id)
@@ -141,25 +142,27 @@
 
 
 def finish(state: AgentState, event: RequestFinished) -> Effects:
-    """Take note of how a started request ended, and start the next."""
+    """Record how a started request ended, and start queued requests."""
     request = state.requests.get(event.request_id)
     if request is None:
         return ()
     release(state, request, event.now)
-    _note_upstream(state, event.outcome.kind, event.now)
-    observed = Observe(
+    _record_upstream_result(state, event.outcome.kind, event.now)
+    observation = Observe(
         'request_seconds',
         request.traffic_class.name,
         event.now - request.arrived,
     )
     return (
-        observed,
+        observation,
         *_conclude(state, request, event.outcome, event.now),
         *start_waiting(state, event.now),
     )
 
 
-def _note_upstream(state: AgentState, kind: OutcomeKind, now: float) -> None:
+def _record_upstream_result(
+    state: AgentState, kind: OutcomeKind, now: float
+) -> None:
     if kind is OutcomeKind.NOT_SENT:
         state.failures += 1
         state.down_until = now + defaults.UPSTREAM_DOWN_SECONDS
@@ -176,8 +179,8 @@
     if outcome.kind is OutcomeKind.ANSWERED:
         return _conclude_answered(state, request, outcome.answer)
     if outcome.kind is OutcomeKind.NOT_SENT:
-        passed = pass_to_peer(state, request, now)
-        return passed or refuse(state, request, 'upstream_unreachable', 0)
+        passed_on = pass_to_peer(state, request, now)
+        return passed_on or refuse(state, request, 'upstream_unreachable', 0)
     if outcome.kind is OutcomeKind.CANCELLED and request.key is None:
         settle_silently(state, request.request_id)
         return ()
@@ -193,9 +196,10 @@
     if request.key is None or answer is None:
         return ()
     service = state.service
-    unavailable = answer.status == _UNAVAILABLE
+    unavailable = answer.status == _SERVICE_UNAVAILABLE
     if unavailable and service and service.unavailable_means_not_run:
-        # The caller has the upstream's own 503; this is for its retries.
+        # The caller got the upstream's own 503; record the refusal for
+        # its retries and answer the waiting attempts.
         return refuse(state, request, 'upstream_unavailable', 0)
     waiters = _finish_key(state, request, EntryState.ANSWERED, answer)
     return answer_all(state, waiters, answer)
@@ -207,7 +211,7 @@
     entry_state: EntryState,
     answer: StoredAnswer | None,
 ) -> tuple[int, ...]:
-    """Record how a key ended; return the attempts that wait for it."""
+    """Record the outcome of a key and return the waiting attempts."""
     if request.key is None:
         return ()
     return tuple(state.ledger.finish(request.key, entry_state, answer))
@@ -224,19 +228,19 @@
 
 
 def take_peer_answer(state: AgentState, event: PeerAnswered) -> Effects:
-    """Take what the agent that was asked says."""
+    """Handle the answer of an agent that was asked."""
     request = state.requests.get(event.request_id)
     if request is None:
         return ()
     if request.phase is Phase.ASKING:
-        return _take_issuer_answer(state, request, event)
+        return _handle_issuer_answer(state, request, event)
     if request.phase is not Phase.PASSED:
         return ()
     state.asked.pop(event.request_id, None)
-    return _take_runner_answer(state, request, event)
+    return _handle_runner_answer(state, request, event)
 
 
-def _take_issuer_answer(
+def _handle_issuer_answer(
     state: AgentState,
     request: Request,
     event: PeerAnswered,
@@ -249,7 +253,7 @@
     return ()
 
 
-def _take_runner_answer(
+def _handle_runner_answer(
     state: AgentState,
     request: Request,
     event: PeerAnswered,
@@ -263,14 +267,17 @@
 
 
 def give_up_on_peers(state: AgentState, now: float) -> Effects:
-    """End requests whose runner is silent; it may have started them."""
-    late = [
+    """Handle requests that a peer runs without answering in time.
+
+    The peer may have started them, so only safe requests are run again.
+    """
+    late_requests = [
         request
         for request in state.asked.values()
         if request.phase is Phase.PASSED and _is_late(request, now)
     ]
     effects: list[AgentEffect] = []
-    for request in late:
+    for request in late_requests:
         state.asked.pop(request.request_id, None)
         if request.safe and now < request.deadline_at:
             effects.extend(admit(state, request, now))
@@ -280,7 +287,7 @@
 
 
 def _is_late(request: Request, now: float) -> bool:
-    waited = now - request.asked_at
+    elapsed = now - request.asked_at
     if request.safe:
-        return waited >= defaults.ASK_RETRY_SECONDS
+        return elapsed >= defaults.ASK_RETRY_SECONDS
     return now >= request.deadline_at + defaults.ASK_RETRY_SECONDS
--- a/packages/keelgap-agent/src/keelgap_agent/requests/outcomes.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/outcomes.py
@@ -1,4 +1,4 @@
-"""How a request ended, and the answers that are kept."""
+"""Outcomes of requests and the answers that the ledger stores."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -7,15 +7,15 @@
 
 
 class OutcomeKind(Enum):
-    """What the agent knows about a request that it started."""
+    """How a request that the agent started has ended."""
 
-    #: The upstream answered in whole.
+    #: The upstream sent a complete answer.
     ANSWERED = 'answered'
     #: Nothing of the request reached the upstream.
     NOT_SENT = 'not_sent'
-    #: The upstream broke off; the request may have run.
+    #: The upstream failed; the request may have run.
     BROKEN = 'broken'
-    #: The caller gave the request up, and the upstream was told.
+    #: The caller cancelled it, and the run was aborted.
     CANCELLED = 'cancelled'
 
 
@@ -29,7 +29,7 @@
 
 
 class Outcome(NamedTuple):
-    """The end of a request."""
+    """How a request ended, with the answer if there is one."""
 
     kind: OutcomeKind
     answer: StoredAnswer | None = None
--- a/packages/keelgap-agent/src/keelgap_agent/requests/peer_requests.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/peer_requests.py
@@ -1,4 +1,4 @@
-"""Requests that another agent asks about or passes on."""
+"""Requests that another agent passes on or asks about."""
 
 from collections.abc import Callable
 from types import MappingProxyType
@@ -24,7 +24,7 @@
 
 
 class PeerRequest:
-    """A request that came over the control channel; an Exchange."""
+    """A request from the control channel; implements Exchange."""
 
     def __init__(
         self,
@@ -33,12 +33,12 @@
         ask: Ask,
         on_answer: OnAnswer,
     ) -> None:
-        """Read an ask; on_answer is called once, with the final answer."""
+        """Parse an ask; on_answer is called once, with the final answer."""
         self.request_id = request_id
         self.asker = asker
         self.ask = ask
         self.on_answer = on_answer
-        self.keeper = AnswerKeeper()
+        self.recorder = AnswerKeeper()
         self.lines = RequestLines(ask.method, ask.path, ask.headers)
         self.body = BodyBuffer(lambda count: None)
         self.body.feed(ask.body or b'', ended=True)
@@ -53,20 +53,20 @@
         )
 
     def send_head(self, status: int, headers: HeaderPairs) -> None:
-        """Note the head; the answer is sent in whole."""
-        self.keeper.status = status
-        self.keeper.headers = headers
+        """Store the head, since the answer is sent as one message."""
+        self.recorder.status = status
+        self.recorder.headers = headers
 
     async def send_part(self, part: bytes) -> None:
-        """Keep a part."""
-        self.keeper.add(part)
+        """Store a part of the answer."""
+        self.recorder.add(part)
 
     def send_end(self) -> None:
-        """Send the answer that was collected."""
-        self.answer_whole(self.keeper.make_answer())
+        """Send the collected answer."""
+        self.answer_whole(self.recorder.make_answer())
 
     def refuse(self, problem: Problem) -> None:
-        """Send a problem."""
+        """Send a problem to the asking agent."""
         self.on_answer(
             self,
             Answer(
@@ -78,7 +78,7 @@
         )
 
     def answer_whole(self, answer: StoredAnswer) -> None:
-        """Send a stored answer."""
+        """Send a complete answer to the asking agent."""
         self.on_answer(
             self,
             Answer(
@@ -90,19 +90,21 @@
         )
 
 
-_KINDS: Final = MappingProxyType({kind.slug: kind for kind in PROBLEM_TYPES})
+_KINDS_BY_SLUG: Final = MappingProxyType({
+    kind.slug: kind for kind in PROBLEM_TYPES
+})
 
 
 def read_problem(answer: Answer) -> Problem | None:
-    """Return the problem that an answer tells of, if it does."""
+    """Return the problem in a peer's answer, or None."""
     if answer.problem is None:
         return None
-    kind = _KINDS.get(answer.problem, UPSTREAM_FAILED)
+    kind = _KINDS_BY_SLUG.get(answer.problem, UPSTREAM_FAILED)
     return Problem(kind, answer.reason, answer.retry_after)
 
 
 def read_answer(answer: Answer) -> StoredAnswer | None:
-    """Return the upstream's answer that an answer carries, if it does."""
+    """Return the upstream's response in a peer's answer, or None."""
     if answer.problem is not None:
         return None
     return StoredAnswer(answer.status, tuple(answer.headers), answer.body)
--- a/packages/keelgap-agent/src/keelgap_agent/requests/peers.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/peers.py
@@ -1,4 +1,4 @@
-"""Other agents of the same service, and what is asked of them."""
+"""Lookup of other agents of the same service."""
 
 from collections.abc import Iterator
 
@@ -9,13 +9,13 @@
 
 
 def choose_peer(state: AgentState) -> Address | None:
-    """Return the control address of a random active agent, if any."""
+    """Return the control address of a random active peer, or None."""
     peers = sorted(_list_peers(state))
     return state.random.choice(peers) if peers else None
 
 
 def is_listed(state: AgentState, control: Address) -> bool:
-    """Return whether the platform's list still shows an agent."""
+    """Return whether the instance list contains an agent."""
     return any(
         instance.control == control for instance in state.instances.instances
     )
--- a/packages/keelgap-agent/src/keelgap_agent/requests/problems.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/problems.py
@@ -1,4 +1,4 @@
-"""Problem types that callers get (RFC 9457); see docs/ref/problems.md."""
+"""Problem types for callers (RFC 9457), documented in docs/ref/problems.md."""
 
 import math
 from http import HTTPStatus
@@ -23,31 +23,31 @@
     'encode_problem',
 )
 
-_BASE: Final = 'https://keelgap.example/problems/'
+_BASE_URL: Final = 'https://keelgap.example/problems/'
 
 
 class ProblemType(NamedTuple):
-    """One kind of refusal; the slug is stable."""
+    """One type of problem; its slug is part of the public interface."""
 
     slug: str
     status: int
     title: str
-    #: Whether this attempt, and every attempt with its key, was not run.
+    #: Whether neither this attempt nor any attempt with its key was run.
     not_run: bool
 
     @property
     def is_passing(self) -> bool:
-        """Return whether a later attempt may fare better."""
+        """Return whether a later attempt may succeed."""
         return self.status == HTTPStatus.SERVICE_UNAVAILABLE
 
 
 class Problem(NamedTuple):
-    """A refusal of one request."""
+    """A problem with one request."""
 
     kind: ProblemType
-    #: Why, as a label of metrics.
+    #: Reason, also used as a label of metrics.
     reason: str
-    #: Seconds until a retry is worth while; None if it never is.
+    #: Seconds to wait before a retry; None if retrying is of no use.
     retry_after: float | None = None
 
 
@@ -120,7 +120,7 @@
     not_run=True,
 )
 
-#: All of them; docs/ref/problems.md lists the same.
+#: All problem types, as documented in docs/ref/problems.md.
 PROBLEM_TYPES: Final = (
     NOT_RUN,
     OUTCOME_UNKNOWN,
@@ -138,11 +138,11 @@
 def encode_problem(
     problem: Problem,
 ) -> tuple[list[tuple[bytes, bytes]], bytes]:
-    """Return the headers and the body of a problem answer."""
+    """Return the headers and the body of a problem response."""
     kind = problem.kind
     body = msgspec.json.encode(
         _ProblemDocument(
-            type=f'{_BASE}{kind.slug}',
+            type=f'{_BASE_URL}{kind.slug}',
             title=kind.title,
             status=int(kind.status),
             reason=problem.reason,
--- a/packages/keelgap-agent/src/keelgap_agent/requests/request_effects.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/request_effects.py
@@ -1,4 +1,4 @@
-"""Effects on requests: run, cancel, answer, refuse, ask a peer."""
+"""Handlers of the effects on requests."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,30 +17,31 @@
 
 __all__ = ('RequestEffects',)
 
-#: Seconds past its deadline after which a keyed run is given up; its outcome
-#: is worth more than the slot for so long.
-_KEYED_GRACE: Final = 10.0
+#: Seconds past its deadline after which a keyed run is aborted.  Until then
+#: its outcome is worth more than the slot that it holds.
+_KEYED_GRACE_SECONDS: Final = 10.0
 
 
 class RequestEffects:
-    """Carry out what the reducer decided about requests."""
+    """Carry out the effects on requests."""
 
     def __init__(self, driver: Dispatcher) -> None:
-        """Act through the ports of a driver."""
+        """Use the ports of a driver."""
         self.driver = driver
         self.exchanges: dict[int, Exchange] = {}
-        #: Requests of peers in progress, so that a repeated ask starts none.
+        #: Requests of peers in progress, by asking agent and ask id, so that a
+        #: repeated ask starts no second request.
         self.peer_asks: dict[tuple[Address, int], PeerRequest] = {}
         self.runs: dict[int, asyncio.Task[Outcome]] = {}
 
     def start_request(self, effect: effects.StartRequest) -> None:
-        """Run a request against the upstream."""
+        """Start a task that runs a request against the upstream."""
         request_id = effect.request_id
         run = asyncio.create_task(
             self.driver.ports.upstream.run(
                 self.exchanges[request_id],
                 effect.deadline_seconds,
-                self._choose_limit(effect),
+                self._compute_timeout(effect),
                 self._make_head_observer(request_id),
             ),
         )
@@ -48,19 +49,19 @@
         run.add_done_callback(partial(self._finish_run, request_id))
 
     def cancel_run(self, effect: effects.CancelRun) -> None:
-        """Break a run off; the upstream sees its connection close."""
+        """Cancel a run, which closes its connection to the upstream."""
         run = self.runs.get(effect.request_id)
         if run is not None:
             run.cancel()
 
     def answer_request(self, effect: effects.AnswerRequest) -> None:
-        """Answer with what is stored."""
+        """Answer with a complete response."""
         exchange = self.exchanges.pop(effect.request_id, None)
         if exchange is not None:
             exchange.answer_whole(effect.answer)
 
     def refuse_request(self, effect: effects.RefuseRequest) -> None:
-        """Answer with a problem."""
+        """Count a refusal and answer with its problem."""
         problem = effect.problem
         metrics = self.driver.ports.metrics
         metrics.refusals.labels(
@@ -83,7 +84,7 @@
             exchange.answer_whole(answer)
 
     def ask_peer(self, effect: effects.AskPeer) -> None:
-        """Send a request to another agent."""
+        """Send an ask to another agent."""
         exchange = self.exchanges.get(effect.request_id)
         service = self.driver.state.service
         if exchange is None or service is None:
@@ -107,7 +108,7 @@
         )
 
     def answer_peer(self, request: PeerRequest, answer: Answer) -> None:
-        """Send the final answer of a request of a peer."""
+        """Send the final answer of a peer's request to that peer."""
         self.peer_asks.pop((request.asker, request.ask.ask_id), None)
         self.driver.ports.control.send(request.asker, answer)
 
@@ -135,17 +136,19 @@
         started = loop.time()
         return lambda: observer.observe(loop.time() - started)
 
-    def _choose_limit(self, effect: effects.StartRequest) -> float | None:
+    def _compute_timeout(self, effect: effects.StartRequest) -> float | None:
         request = self.driver.state.requests[effect.request_id]
         if not request.traffic_class.takes_slot:
             return None
-        grace = _KEYED_GRACE if request.traffic_class.at_most_once else 0
+        grace = (
+            _KEYED_GRACE_SECONDS if request.traffic_class.at_most_once else 0
+        )
         return effect.deadline_seconds + grace
 
 
 def _read_outcome(run: asyncio.Task[Outcome]) -> Outcome:
     if run.cancelled():
-        # Cancelled before its first step: nothing was sent.
+        # The task was cancelled before its first step: nothing was sent.
         return Outcome(OutcomeKind.CANCELLED)
     error = run.exception()
     if error is not None:
--- a/packages/keelgap-agent/src/keelgap_agent/requests/settling.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/settling.py
@@ -1,4 +1,4 @@
-"""Give requests their final answer, exactly one each."""
+"""Completion of requests with exactly one final answer each."""
 
 from typing import Final
 
@@ -25,8 +25,8 @@
 
 Effects = tuple[AgentEffect, ...]
 _JITTER: Final = 0.5
-_REFUSALS_A_STEP: Final = 16
-_MAX_STEPS: Final = 5
+_REFUSALS_PER_STEP: Final = 16
+_MAX_BACKOFF_STEPS: Final = 5
 
 
 def settle(
@@ -34,8 +34,11 @@
     request_id: int,
     answer: AgentEffect,
 ) -> Effects:
-    """Forget a request and emit its final answer, unless nobody waits."""
-    request = _forget(state, request_id)
+    """Remove a request and return its final answer.
+
+    Nothing is returned if it was completed before or its caller has left.
+    """
+    request = _remove(state, request_id)
     if request is None or request.detached:
         return ()
     leave_flow(state, request)
@@ -43,19 +46,19 @@
 
 
 def settle_silently(state: AgentState, request_id: int) -> None:
-    """Forget a request whose answer the driver sent, or nobody awaits."""
-    request = _forget(state, request_id)
+    """Remove a request that the driver answered or nobody waits for."""
+    request = _remove(state, request_id)
     if request is not None and not request.detached:
         leave_flow(state, request)
 
 
-def _forget(state: AgentState, request_id: int) -> Request | None:
+def _remove(state: AgentState, request_id: int) -> Request | None:
     state.asked.pop(request_id, None)
     return state.requests.pop(request_id, None)
 
 
 def leave_flow(state: AgentState, request: Request) -> None:
-    """Count a request out of its flow."""
+    """Decrement the number of open requests of the request's flow."""
     if request.flow_id is not None:
         state.flows[request.flow_id] -= 1
 
@@ -66,7 +69,7 @@
     reason: str,
     wait: float,
 ) -> Effects:
-    """Refuse a request that was not started, and see that it never runs."""
+    """Refuse a request that was not started and prevent it from running."""
     state.refusals += 1
     problem = Problem(NOT_RUN, reason, _compute_retry_after(state, wait))
     waiters: list[int] = []
@@ -84,7 +87,7 @@
     request_ids: tuple[int, ...],
     problem: Problem,
 ) -> Effects:
-    """Give several attempts the same problem."""
+    """Complete several attempts with the same problem."""
     effects: list[AgentEffect] = []
     for request_id in request_ids:
         refusal = RefuseRequest(request_id, problem)
@@ -97,7 +100,7 @@
     request_ids: tuple[int, ...],
     answer: StoredAnswer,
 ) -> Effects:
-    """Give several attempts the same answer."""
+    """Complete several attempts with the same answer."""
     effects: list[AgentEffect] = []
     for request_id in request_ids:
         effect = make_answer(request_id, answer)
@@ -106,7 +109,10 @@
 
 
 def make_answer(request_id: int, answer: StoredAnswer) -> AgentEffect:
-    """Return the effect that repeats a stored answer."""
+    """Return the effect that sends a stored answer.
+
+    If its body was too long to store, a problem is sent.
+    """
     if answer.body is None:
         problem = Problem(ANSWER_NOT_KEPT, EntryState.ANSWERED.value)
         return RefuseRequest(request_id, problem)
@@ -114,11 +120,11 @@
 
 
 def _compute_retry_after(state: AgentState, wait: float) -> float:
-    """Return a growing pause with jitter, so that callers spread out."""
-    steps = min(state.refusals // _REFUSALS_A_STEP, _MAX_STEPS)
-    pause = min(
+    """Return a backoff with jitter, which spreads out retries."""
+    steps = min(state.refusals // _REFUSALS_PER_STEP, _MAX_BACKOFF_STEPS)
+    backoff = min(
         defaults.BACKOFF_BASE_SECONDS * 2**steps,
         defaults.BACKOFF_MAX_SECONDS,
     )
     jitter = 1 - _JITTER * state.random.random()
-    return float(max(wait, pause) * jitter)
+    return float(max(wait, backoff) * jitter)
--- a/packages/keelgap-agent/src/keelgap_agent/requests/tickets.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/tickets.py
@@ -1,8 +1,9 @@
-"""Tickets: the right to have a request run at most once, at one agent.
+"""Tickets, which permit requests that run at most once.
 
-A ticket names the agent that issued it, that agent's incarnation, the
-service, the caller and an expiry on the issuer's own clock, under a keyed
-BLAKE2b code.  Any agent can check it; only the issuing incarnation may run.
+A ticket contains the issuing agent, its incarnation, the service, the caller
+and an expiry on the issuer's clock, and is authenticated by a keyed BLAKE2b
+code.  Any agent can check it, but only the issuing incarnation may admit the
+requests that use it.
 """
 
 import base64
@@ -24,12 +25,12 @@
     'split_key',
 )
 
-_FIELDS = struct.Struct('!BB6sQHQI8s')
+_LAYOUT = struct.Struct('!BB6sQHQI8s')
 _MAC_LENGTH: Final = 16
 _CALLER_LENGTH: Final = 8
 _VERSION: Final = 1
 _MAX_SUFFIX: Final = 64
-#: 54 octets in base64, without padding.
+#: Length of 54 octets in base64, which needs no padding.
 _TEXT_LENGTH: Final = 72
 
 
@@ -40,23 +41,23 @@
 
 
 class MalformedKey(KeelgapError):
-    """An Idempotency-Key does not have a ticket, a dot and a suffix."""
+    """An Idempotency-Key is not a ticket, a dot and a suffix."""
 
     code = 'malformed_key'
 
 
 class Ticket(NamedTuple):
-    """What a ticket says."""
+    """The fields of a ticket."""
 
-    #: Control address of the agent, where others may ask it.
+    #: Control address of the issuing agent, where others can ask it.
     issuer: Address
     incarnation: int
     service: int
-    #: Rises with each ticket of an incarnation.
+    #: Increases with each ticket of an incarnation.
     serial: int
-    #: Seconds since the issuer's start at which it expires.
+    #: Time of expiry in seconds since the issuer's start.
     expiry: int
-    #: Digest of who asked for it.
+    #: Digest of the credentials of the caller that fetched it.
     caller: bytes
 
 
@@ -66,25 +67,27 @@
 
 
 def split_key(text: str) -> tuple[str, str]:
-    """Split an Idempotency-Key in its ticket and the caller's suffix."""
+    """Split an Idempotency-Key into its ticket and the caller's suffix."""
     ticket, dot, suffix = text.partition('.')
-    fits = len(ticket) == _TEXT_LENGTH and 0 < len(suffix) <= _MAX_SUFFIX
-    if not dot or not fits:
+    has_valid_lengths = (
+        len(ticket) == _TEXT_LENGTH and 0 < len(suffix) <= _MAX_SUFFIX
+    )
+    if not dot or not has_valid_lengths:
         raise MalformedKey
     return ticket, suffix
 
 
 class TicketCodec:
-    """Sign and check tickets under the live keys of the fleet."""
+    """Sign and check tickets with the fleet's keys."""
 
     def __init__(self, keys: dict[int, bytes], signing_key_id: int) -> None:
-        """Take the message code keys by key id."""
+        """Take the message authentication keys by key id."""
         self.keys = keys
         self.signing_key_id = signing_key_id
 
     def encode(self, ticket: Ticket) -> str:
-        """Return the text of a ticket."""
-        body = _FIELDS.pack(
+        """Return the signed text of a ticket."""
+        body = _LAYOUT.pack(
             _VERSION,
             self.signing_key_id,
             pack_address(ticket.issuer),
@@ -98,19 +101,19 @@
         return base64.urlsafe_b64encode(body + mac).decode()
 
     def decode(self, text: str) -> Ticket:
-        """Return what an authentic ticket says, or raise TicketRefused."""
+        """Return the fields of an authentic ticket, or raise TicketRefused."""
         try:
             raw = base64.b64decode(text, b'-_', validate=True)
         except (binascii.Error, ValueError) as error:
             raise TicketRefused from error
         body = raw[:-_MAC_LENGTH]
-        if len(body) != _FIELDS.size or body[0] != _VERSION:
+        if len(body) != _LAYOUT.size or body[0] != _VERSION:
             raise TicketRefused
         expected = self._compute_mac(body[1], body)
         if not compare_digest(expected, raw[-_MAC_LENGTH:]):
             raise TicketRefused
-        _version, _key_id, issuer, *others = _FIELDS.unpack(body)
-        return Ticket(unpack_address(issuer), *others)
+        _version, _key_id, issuer, *other_fields = _LAYOUT.unpack(body)
+        return Ticket(unpack_address(issuer), *other_fields)
 
     def _compute_mac(self, key_id: int, body: bytes) -> bytes:
         key = self.keys.get(key_id)
--- a/packages/keelgap-agent/src/keelgap_agent/requests/upstream.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/upstream.py
@@ -1,4 +1,4 @@
-"""Requests to the upstream instance over HTTP/1.1."""
+"""HTTP/1.1 client of the upstream instance."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,10 +17,11 @@
 
 __all__ = ('DEADLINE_HEADER', 'AnswerKeeper', 'UpstreamClient', 'watch_state')
 
-#: Seconds that the caller still waits, for the upstream to read.
+#: Request header that gives the upstream the remaining seconds until the
+#: caller's deadline.
 DEADLINE_HEADER: Final = 'keelgap-deadline'
-#: Headers of one hop (RFC 9110, 7.6.1), which are not passed on.
-_HOP_HEADERS: Final = frozenset((
+#: Hop-by-hop headers (RFC 9110, 7.6.1), which are not forwarded.
+_HOP_BY_HOP_HEADERS: Final = frozenset((
     b'connection',
     b'keep-alive',
     b'proxy-connection',
@@ -30,8 +31,8 @@
 ))
 
 
-#: Pause between questions whether the upstream is leaving.
-_STATE_SECONDS: Final = 1.0
+#: Interval between requests for the upstream's draining state.
+_STATE_POLL_SECONDS: Final = 1.0
 _STATE_TIMEOUT: Final = aiohttp.ClientTimeout(total=1)
 
 
@@ -40,34 +41,34 @@
 
 
 class AnswerKeeper:
-    """Collect an answer for the ledger while it streams by."""
+    """Record an answer for the ledger while it is streamed."""
 
     def __init__(self) -> None:
-        """Start without an answer."""
+        """Start with an empty answer."""
         self.status = 0
         self.headers: HeaderPairs = []
         self.parts: list[bytes] = []
         self.size = 0
 
     def add(self, part: bytes) -> None:
-        """Keep a part, unless the answer has grown too long."""
+        """Store a part, unless the answer has become too long."""
         self.size += len(part)
         if self.size <= ANSWER_KEPT_OCTETS:
             self.parts.append(part)
 
     def make_answer(self) -> StoredAnswer:
-        """Return the answer as the ledger keeps it."""
-        kept = self.size <= ANSWER_KEPT_OCTETS
-        body = b''.join(self.parts) if kept else None
+        """Return the answer as the ledger stores it."""
+        is_storable = self.size <= ANSWER_KEPT_OCTETS
+        body = b''.join(self.parts) if is_storable else None
         return StoredAnswer(self.status, tuple(self.headers), body)
 
 
-def strip_hop_headers(headers: HeaderPairs) -> HeaderPairs:
-    """Return the headers that go end to end, with names in lower case."""
+def strip_hop_by_hop_headers(headers: HeaderPairs) -> HeaderPairs:
+    """Return the end-to-end headers, with names in lower case."""
     return [
         (name.lower(), text)
         for name, text in headers
-        if name.lower() not in _HOP_HEADERS
+        if name.lower() not in _HOP_BY_HOP_HEADERS
     ]
 
 
@@ -83,21 +84,21 @@
         self,
         exchange: Exchange,
         deadline_seconds: float,
-        limit_seconds: float | None,
+        timeout_seconds: float | None,
         on_head: Callable[[], None],
     ) -> Outcome:
         """Run a request to its end and stream the answer back.
 
-        The limit bounds the whole run; None lets a long stream go on.
-        Calls on_head when the first octets of the answer are there.
+        The timeout applies to the whole run; None allows long streams.
+        Calls on_head when the head of the answer has arrived.
         """
-        keeper = AnswerKeeper()
+        recorder = AnswerKeeper()
         try:
-            async with asyncio.timeout(limit_seconds):
-                await self._exchange(
+            async with asyncio.timeout(timeout_seconds):
+                await self._run_exchange(
                     exchange,
                     deadline_seconds,
-                    keeper,
+                    recorder,
                     on_head,
                 )
         except aiohttp.ClientConnectorError:
@@ -105,15 +106,15 @@
         except (BodyCancelled, asyncio.CancelledError):
             return Outcome(OutcomeKind.CANCELLED)
         except (aiohttp.ClientError, OSError):
-            # TimeoutError is an OSError, too.
+            # TimeoutError is a subclass of OSError.
             return Outcome(OutcomeKind.BROKEN)
-        return Outcome(OutcomeKind.ANSWERED, keeper.make_answer())
+        return Outcome(OutcomeKind.ANSWERED, recorder.make_answer())
 
-    async def _exchange(
+    async def _run_exchange(
         self,
         exchange: Exchange,
         deadline_seconds: float,
-        keeper: AnswerKeeper,
+        recorder: AnswerKeeper,
         on_head: Callable[[], None],
     ) -> None:
         async with self.session.request(
@@ -124,11 +125,13 @@
             allow_redirects=False,
         ) as answer:
             on_head()
-            keeper.status = answer.status
-            keeper.headers = strip_hop_headers(list(answer.raw_headers))
-            exchange.send_head(answer.status, keeper.headers)
+            recorder.status = answer.status
+            recorder.headers = strip_hop_by_hop_headers(
+                list(answer.raw_headers)
+            )
+            exchange.send_head(answer.status, recorder.headers)
             async for part in answer.content.iter_any():
-                keeper.add(part)
+                recorder.add(part)
                 await exchange.send_part(part)
         exchange.send_end()
 
@@ -139,7 +142,7 @@
     ) -> CIMultiDict[str]:
         headers = CIMultiDict(
             (name.decode('latin-1'), text.decode('latin-1'))
-            for name, text in strip_hop_headers(exchange.lines.headers)
+            for name, text in strip_hop_by_hop_headers(exchange.lines.headers)
         )
         headers[DEADLINE_HEADER] = f'{max(deadline_seconds, 0):.3f}'
         return headers
@@ -156,9 +159,9 @@
     url: str,
     on_state: Callable[[bool], None],
 ) -> None:
-    """Ask the upstream again and again whether it is leaving.
+    """Poll the upstream's own draining state.
 
-    A failed or odd answer says nothing: it makes nobody dead or alive.
+    Failed and malformed answers are ignored and do not affect the state.
     """
     while True:
         with suppress(aiohttp.ClientError, OSError, msgspec.DecodeError):
@@ -166,4 +169,4 @@
                 content = await answer.read()
             state = msgspec.json.decode(content, type=_StateDocument)
             on_state(state['state'] == 'draining')
-        await asyncio.sleep(_STATE_SECONDS)
+        await asyncio.sleep(_STATE_POLL_SECONDS)
