--- a/packages/keelgap/src/keelgap/__init__.py
+++ b/packages/keelgap/src/keelgap/__init__.py
@@ -1,4 +1,4 @@
-"""What both keelgap programs share."""
+"""Code shared by the keelgap balancer and agent."""
 
 from typing import Final
 
--- a/packages/keelgap/src/keelgap/addresses.py
+++ b/packages/keelgap/src/keelgap/addresses.py
@@ -17,7 +17,7 @@
     'unpack_address',
 )
 
-#: Octets of a packed address: four of IPv4, two of port.
+#: Length of a packed address: four octets of IPv4 and two of port.
 PACKED_LENGTH: Final = 6
 _CACHE_SIZE: Final = 65536
 _MAX_PORT: Final = 65535
@@ -26,23 +26,23 @@
 
 
 class InvalidAddress(KeelgapError):
-    """A text is not of the form ``IPv4:port``."""
+    """The string does not have the form ``IPv4:port``."""
 
     code = 'invalid_address'
 
 
 class Address(NamedTuple):
-    """An IPv4 address and a port, as socket calls take them."""
+    """An IPv4 address and a port, as accepted by socket calls."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Render as ``host:port``."""
+        """Return ``host:port``."""
         return f'{self.host}:{self.port}'
 
 
-#: Stands on the wire for "no address".
+#: Wire encoding of an absent address.
 UNSPECIFIED: Final = Address('0.0.0.0', 0)  # noqa: S104
 
 
@@ -55,7 +55,7 @@
 
 @lru_cache(maxsize=_CACHE_SIZE)
 def unpack_address(packed: bytes) -> Address:
-    """Return the address that six octets hold."""
+    """Return the address encoded in six octets."""
     host = socket.inet_ntoa(packed[:_HOST_LENGTH])
     return Address(host, _PORT.unpack(packed[_HOST_LENGTH:])[0])
 
--- a/packages/keelgap/src/keelgap/admin.py
+++ b/packages/keelgap/src/keelgap/admin.py
@@ -1,4 +1,4 @@
-"""The admin HTTP address: metrics, health, and the read-back."""
+"""The admin HTTP server: metrics, health checks and status pages."""
 
 from collections.abc import Callable
 from contextlib import AsyncExitStack
@@ -23,14 +23,14 @@
     'start_admin',
 )
 
-#: Returns a value that msgspec can encode.
+#: Returns the content of a page, which msgspec must be able to encode.
 AdminPage = Callable[[], Any]
 
-_LEAVING: Final = 503
+_SERVICE_UNAVAILABLE: Final = 503
 
 
 class RefusedReport(TypedDict):
-    """The last version that was refused."""
+    """The most recent version that was refused."""
 
     revision: int
     digest: str
@@ -39,29 +39,29 @@
 
 
 class DocumentReport(TypedDict):
-    """What is in force under one key in this process."""
+    """The version of one document that is in force in this process."""
 
     revision: int
     digest: str
     in_force_seconds: float | None
-    #: Highest revision heard of from anyone.
+    #: Highest revision that any process has announced.
     highest_heard: int
     refused: RefusedReport | None
 
 
 class StatusReport(TypedDict):
-    """What is in force in one process, without rows."""
+    """The versions in force in one process, without table rows."""
 
     name: str
     reading: bool
-    #: False while a joiner holds documents back.
+    #: False while a starting process waits before it puts documents in force.
     joined: bool
     table: DocumentReport
     instances: DocumentReport
 
 
 class TableReport(StatusReport):
-    """The read-back of one process, with the rows in force."""
+    """The status of one process, including the table rows in force."""
 
     content: dict[str, Any]
 
@@ -71,7 +71,7 @@
     state: DisseminationState,
     now: float,
 ) -> TableReport:
-    """Return the read-back: what this process really works with."""
+    """Return the status of this process and the table it works with."""
     held = state.held[state.identity.names.table]
     return TableReport(
         **make_status_report(name, state, now),
@@ -84,7 +84,7 @@
     state: DisseminationState,
     now: float,
 ) -> StatusReport:
-    """Return the read-back without rows, short at any size of table."""
+    """Return the status without rows; its size is independent of the table."""
     names = state.identity.names
     return StatusReport(
         name=name,
@@ -144,7 +144,7 @@
 ) -> Callable[[web.Request], Any]:
     async def respond(request: web.Request) -> web.Response:
         if is_leaving():
-            return web.Response(status=_LEAVING, text='leaving\n')
+            return web.Response(status=_SERVICE_UNAVAILABLE, text='leaving\n')
         return web.Response(text='ok\n')
 
     return respond
@@ -157,7 +157,7 @@
     is_leaving: Callable[[], bool],
     stack: AsyncExitStack,
 ) -> None:
-    """Serve pages, metrics and health until the stack closes."""
+    """Serve the pages, metrics and health checks until the stack closes."""
     app = web.Application()
     for path, page in pages.items():
         app.router.add_get(path, _make_json_handler(page))
--- a/packages/keelgap/src/keelgap/checks.py
+++ b/packages/keelgap/src/keelgap/checks.py
@@ -1,4 +1,4 @@
-"""The check framework: find every fault of some input at once."""
+"""Validation helpers that report every fault of an input at once."""
 
 from collections.abc import Iterator, Mapping
 from difflib import get_close_matches
@@ -31,7 +31,7 @@
 
 
 def describe_nearest(name: str, known: Mapping[str, object]) -> str:
-    """Return a hint that offers the known name nearest to a wrong one."""
+    """Return a hint that suggests the known name closest to a wrong one."""
     nearest = get_close_matches(name, known, n=1)
     if nearest:
         return f'did you mean {nearest[0]!r}?'
@@ -46,7 +46,7 @@
 
 
 def _list_columns(row_type: type[object]) -> tuple[_Column, ...]:
-    """Return the columns of a TypedDict or of a NamedTuple."""
+    """Return the columns of a TypedDict or NamedTuple."""
     defaults = getattr(row_type, '_field_defaults', {})
     columns = []
     for name, hint in get_type_hints(row_type, include_extras=True).items():
@@ -72,9 +72,9 @@
     *,
     strict: bool = True,
 ) -> Iterator[Fault]:
-    """Compare the names and types of a row with those of its type.
+    """Yield a fault for each unknown, missing or ill-typed column of a row.
 
-    The type is a TypedDict or a NamedTuple.
+    The row type is a TypedDict or a NamedTuple.
     """
     if not isinstance(row, dict):
         yield Fault(
@@ -89,7 +89,7 @@
         yield Fault(
             _UNKNOWN,
             f'{subject}.{unknown}',
-            'this name is not known',
+            'unknown name',
             describe_nearest(unknown, columns),
         )
     for column in columns.values():
@@ -104,22 +104,22 @@
     strict: bool,
 ) -> Iterator[Fault]:
     hint = f'give {_describe_type(column.hint)}'
-    place = f'{subject}.{column.name}'
+    location = f'{subject}.{column.name}'
     if column.name not in row:
         if column.required:
-            yield Fault(_MISSING, place, 'a value is required', hint)
+            yield Fault(_MISSING, location, 'a value is required', hint)
         return
     try:
         msgspec.convert(row[column.name], column.hint, strict=strict)
     except msgspec.ValidationError as error:
-        yield Fault(_WRONG_TYPE, place, str(error).lower(), hint)
+        yield Fault(_WRONG_TYPE, location, str(error).lower(), hint)
 
 
 def convert_columns(
     row: dict[str, str],
     row_type: type[object],
 ) -> dict[str, Any]:
-    """Return the values of a checked row of texts."""
+    """Convert the strings of a validated row to the types of its columns."""
     hints = get_type_hints(row_type)
     return {
         key: msgspec.convert(text, hints[key], strict=False)
@@ -133,7 +133,7 @@
     lowest: float,
     highest: float,
 ) -> Iterator[Fault]:
-    """Yield a fault if a number is out of its range."""
+    """Yield a fault if a number is outside its range."""
     if not lowest <= number <= highest:
         yield Fault(
             _OUT_OF_RANGE,
--- a/packages/keelgap/src/keelgap/conf.py
+++ b/packages/keelgap/src/keelgap/conf.py
@@ -1,6 +1,7 @@
-"""Settings: INI files, checked whole before anything is bound.
+"""Settings from INI files, validated completely before any port is bound.
 
-``docs/ref/settings.md`` documents each name; a test keeps it complete.
+``docs/ref/settings.md`` documents each name; a test checks that it is
+complete.
 """
 
 import configparser
@@ -26,10 +27,10 @@
 
 
 class InstanceSettings(NamedTuple):
-    """Section ``instance``: who this process is."""
+    """Section ``instance``: identity of this process."""
 
     name: str
-    #: IPv4 address that other processes and the fabric reach.
+    #: IPv4 address at which other processes and the fabric reach this one.
     address: str
     availability_zone: str
 
@@ -37,34 +38,34 @@
 class ListenSettings(NamedTuple):
     """Section ``listen``: the ports of this process."""
 
-    #: UDP, encapsulated datagrams.
+    #: UDP port for encapsulated datagrams.
     data_port: int
-    #: TCP, pyzmq between processes.
+    #: TCP port for control messages between processes (pyzmq).
     control_port: int
-    #: TCP, HTTP for operators.
+    #: TCP port of the admin HTTP server.
     admin_port: int
-    #: Control addresses of peers, ``IPv4:port`` with commas between, which a
-    #: joiner asks when the configuration service is away.
+    #: Comma-separated control addresses (``IPv4:port``) of the peers that a
+    #: starting process asks when the configuration service is unavailable.
     seeds: str = ''
 
 
 class ConfigServiceSettings(NamedTuple):
-    """Section ``config_service``: where tables are read."""
+    """Section ``config_service``: where documents are read from."""
 
-    #: HTTP base address of the service.
+    #: Base URL of the service.
     url: str
     table_key: str = 'table'
     instances_key: str = 'instances'
-    #: Longest blocking query, in seconds.
+    #: Maximum duration of a blocking query, in seconds.
     wait_seconds: float = 30.0
 
 
 class KeySettings(NamedTuple):
-    """Section ``keys``: files with the fleet's keys, in hexadecimal.
+    """Section ``keys``: files that hold the fleet's keys, in hexadecimal.
 
-    Two keys are live for connection ids and two for the message code; the
-    other one may be empty.  A change in the order given in
-    docs/howto/rotate-keys.md breaks no flow.
+    Up to two keys are live for connection ids and up to two for message
+    authentication; the second file of each may be empty.  Rotating keys in
+    the order given in docs/howto/rotate-keys.md breaks no flow.
     """
 
     connection_ids_first: str
@@ -72,35 +73,35 @@
     curve_public: str
     curve_secret: str
     connection_ids_second: str = ''
-    #: Key id, 1 or 2, under which new connection ids are issued.
+    #: Id (1 or 2) of the key that encrypts new connection ids.
     connection_ids_issue: int = 1
     mac_second: str = ''
-    #: Key id, 1 or 2, under which messages are signed.
+    #: Id (1 or 2) of the key that authenticates outgoing messages.
     mac_sign: int = 1
 
 
-class _Doubtful(Exception):
-    """A section needs the full checks to say what is wrong with it."""
+class _NeedsFullCheck(Exception):
+    """A section may have faults, which only the full checks can describe."""
 
 
 def load_settings(path: str, settings_type: type[_SettingsT]) -> _SettingsT:
-    """Return the settings of a file, one NamedTuple a section.
+    """Return the settings of a file, with one NamedTuple for each section.
 
-    Raises ImproperlyConfigured with every fault found.  A faultless file is
-    read without the check framework, which costs a third of a fast start.
+    Raises ImproperlyConfigured with every fault found.  A valid file is read
+    without importing keelgap.checks, which takes a third of a fast start.
     """
     parser = _read_file(path)
     sections = settings_type.__annotations__
     try:
         if parser.sections() and not sections.keys() >= set(parser.sections()):
-            raise _Doubtful
+            raise _NeedsFullCheck
         return settings_type(
             *(
                 _make_section(parser, name, section_type)
                 for name, section_type in sections.items()
             )
         )
-    except _Doubtful:
+    except _NeedsFullCheck:
         return _load_checked(parser, settings_type)
 
 
@@ -108,7 +109,7 @@
     parser: configparser.ConfigParser,
     settings_type: type[_SettingsT],
 ) -> _SettingsT:
-    """Find every fault of a file, or return the settings."""
+    """Return the settings, or raise ImproperlyConfigured with every fault."""
     from keelgap.checks import (  # noqa: PLC0415, WPS433
         check_columns,
         convert_columns,
@@ -120,7 +121,7 @@
         Fault(
             _UNKNOWN_SECTION,
             f'[{name}]',
-            'this section is not known',
+            'unknown section',
             describe_nearest(name, sections),
         )
         for name in parser.sections()
@@ -171,20 +172,20 @@
     optional: dict[str, Any] = getattr(section_type, '_field_defaults', {})
     required = hints.keys() - optional.keys()
     if required - row.keys() or row.keys() - hints.keys():
-        raise _Doubtful(name)
+        raise _NeedsFullCheck(name)
     columns = {key: _convert(text, hints[key]) for key, text in row.items()}
     return section_type(**columns)
 
 
 def _convert(text: str, hint: object) -> Any:
-    """Return a plain value; raise _Doubtful if its form is not plain."""
+    """Convert a value; raise _NeedsFullCheck if it is not in simple form."""
     convert = _find_conversion(hint)
     if convert is None:
-        raise _Doubtful(hint)
+        raise _NeedsFullCheck(hint)
     try:
         return convert(text)
     except (KeyError, ValueError) as error:
-        raise _Doubtful(text) from error
+        raise _NeedsFullCheck(text) from error
 
 
 def _find_conversion(hint: object) -> Callable[[str], Any] | None:
@@ -200,12 +201,12 @@
 
 
 def _convert_float(text: str) -> float:
-    if set(text) - _FLOAT_LETTERS:
+    if set(text) - _FLOAT_CHARACTERS:
         raise ValueError(text)
     return float(text)
 
 
-_FLOAT_LETTERS: Final = frozenset('0123456789.+-eE')
+_FLOAT_CHARACTERS: Final = frozenset('0123456789.+-eE')
 _BOOLEANS: Final = MappingProxyType({
     'true': True,
     '1': True,
--- a/packages/keelgap/src/keelgap/control/__init__.py
+++ b/packages/keelgap/src/keelgap/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control messages between processes, over pyzmq."""
+"""Control messages between processes, sent over pyzmq."""
--- a/packages/keelgap/src/keelgap/control/channel.py
+++ b/packages/keelgap/src/keelgap/control/channel.py
@@ -1,7 +1,7 @@
-"""The control channel: one ROUTER socket, and a DEALER for each peer.
+"""The control channel: one ROUTER socket, and a DEALER socket for each peer.
 
-CURVE (RFC 7748 keys in ZeroMQ's handshake) encrypts and authenticates: a
-process that does not hold the fleet's key pair is not let in.
+CURVE (ZeroMQ's handshake with RFC 7748 keys) encrypts and authenticates the
+connections: a process without the fleet's key pair is rejected.
 """
 
 import asyncio
@@ -26,28 +26,28 @@
 
 __all__ = ('ControlChannel',)
 
-#: Messages queued for a peer that does not read; more are dropped, as every
-#: exchange is repeated by its own protocol.
-_HIGH_WATER: Final = 64
-#: Sockets to peers kept open; the least recently used is closed.
+#: Messages queued for a peer that does not read.  Further ones are dropped;
+#: the protocols that use the channel repeat their exchanges.
+_HIGH_WATER_MARK: Final = 64
+#: Open sockets to peers; above this, the least recently used is closed.
 _MAX_PEERS: Final = 64
-_MAX_FRAME: Final = 8 * 1024 * 1024
+_MAX_FRAME_LENGTH: Final = 8 * 1024 * 1024
 _ZAP_DOMAIN: Final = b'keelgap'
 
 
-class _FleetOnly:
-    """Let in exactly the holders of the fleet's key."""
+class _FleetAuthenticator:
+    """CURVE authentication that accepts only the fleet's public key."""
 
     def __init__(self, public_key: bytes) -> None:
         self.public_key = public_key
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Return whether a peer's public key (Z85) is the fleet's."""
+        """Return whether a peer's public key (Z85) is that of the fleet."""
         return key == self.public_key
 
 
 class ControlChannel:
-    """Send control messages to peers and hand on those received."""
+    """Send control messages to peers and pass received ones to a callback."""
 
     def __init__(
         self,
@@ -56,26 +56,26 @@
         on_delivery: Callable[[Delivery], None],
         on_drop: Callable[[str], None],
     ) -> None:
-        """Take who to be and where to hand messages; binds nothing yet."""
+        """Set the own address and the callbacks; start() binds the port."""
         self.address = address
         self.keys = keys
         self.on_delivery = on_delivery
         self.on_drop = on_drop
         self.context = zmq_asyncio.Context()
-        # Senders never wait, so that they need no socket of the loop's.
+        # Sending never blocks, so senders use plain sockets without asyncio.
         self.sender_context: zmq.Context[zmq.Socket[bytes]] = zmq.Context(
             shadow=self.context,
         )
         self.dealers: dict[Address, zmq.Socket[bytes]] = {}
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Bind the port and start to read; the stack closes all."""
+        """Bind the port and start reading until the stack closes."""
         stack.callback(self.context.term)
         authenticator = AsyncioAuthenticator(self.context)
         authenticator.start()
         stack.callback(authenticator.stop)
         stack.callback(self._close_dealers)
-        fleet = _FleetOnly(self.keys.curve_public)
+        fleet = _FleetAuthenticator(self.keys.curve_public)
         authenticator.configure_curve_callback(_ZAP_DOMAIN.decode(), fleet)
         router = self.context.socket(zmq.ROUTER)
         stack.callback(router.close, 0)
@@ -90,7 +90,7 @@
         stack.callback(task.cancel)
 
     def send(self, receiver: Address, message: ControlMessage) -> None:
-        """Send without waiting; what cannot be queued is dropped."""
+        """Send without blocking; a message that cannot be queued is dropped."""
         frames = encode_message(self.address, message)
         dealer = self._get_dealer(receiver)
         try:
@@ -105,7 +105,7 @@
             dealer.curve_serverkey = self.keys.curve_public
             self._configure(dealer)
             dealer.connect(f'tcp://{receiver}')
-        # Re-insertion keeps the dictionary in order of last use.
+        # Reinsertion keeps the dictionary ordered by last use.
         self.dealers[receiver] = dealer
         if len(self.dealers) > _MAX_PEERS:
             oldest = next(iter(self.dealers))
@@ -121,9 +121,9 @@
         sock.curve_publickey = self.keys.curve_public
         sock.curve_secretkey = self.keys.curve_secret
         sock.linger = 0
-        sock.sndhwm = _HIGH_WATER
-        sock.rcvhwm = _HIGH_WATER
-        sock.maxmsgsize = _MAX_FRAME
+        sock.sndhwm = _HIGH_WATER_MARK
+        sock.rcvhwm = _HIGH_WATER_MARK
+        sock.maxmsgsize = _MAX_FRAME_LENGTH
 
     async def _read(self, router: zmq_asyncio.Socket) -> None:
         while True:
--- a/packages/keelgap/src/keelgap/control/exceptions.py
+++ b/packages/keelgap/src/keelgap/control/exceptions.py
@@ -1,4 +1,4 @@
-"""Reasons for which a control message is dropped."""
+"""Errors for which a control message is dropped."""
 
 from keelgap.wire.exceptions import WireError
 
@@ -6,12 +6,12 @@
 
 
 class MalformedMessage(WireError):
-    """A control message cannot be decoded."""
+    """The control message cannot be decoded."""
 
     code = 'malformed_message'
 
 
 class NewerMajorVersion(WireError):
-    """A control message is of a major version that is not known here."""
+    """The major version of the control message is not supported."""
 
     code = 'newer_major_version'
--- a/packages/keelgap/src/keelgap/control/messages.py
+++ b/packages/keelgap/src/keelgap/control/messages.py
@@ -1,10 +1,10 @@
 """The control messages and their encoding, version 1.0.
 
-A message is two frames: a head of constant layout (major version, minor
-version, the sender's control address) and a MessagePack body.  Fields that
-are not known here are ignored, so a newer minor version may add some.  The
-bodies are msgspec structs and not NamedTuples, because only structs carry the
-tag by which a union is decoded.
+A message has two frames: a fixed header (major version, minor version and the
+sender's control address) and a MessagePack body.  Unknown fields are ignored,
+so that a newer minor version may add some.  The bodies are msgspec structs
+rather than NamedTuples, because only structs carry the tag by which the
+members of a union are decoded.
 """
 
 import struct
@@ -37,54 +37,55 @@
 
 VERSION_MAJOR: Final = 1
 VERSION_MINOR: Final = 0
-_HEAD = struct.Struct(f'!BB{PACKED_LENGTH}s')
-#: Longest body taken, in octets: a table of several parts, and some room.
-_MAX_BODY: Final = 8 * 1024 * 1024
+_HEADER = struct.Struct(f'!BB{PACKED_LENGTH}s')
+#: Maximum length of a body in octets: leaves room for a table of several
+#: parts.
+_MAX_BODY_LENGTH: Final = 8 * 1024 * 1024
 
 HeaderPairs = list[tuple[bytes, bytes]]
 
 
 class DocumentVersion(NamedTuple):
-    """What orders the versions of one document."""
+    """The version of a document, ordered by revision and then by digest."""
 
     revision: int
     digest: str
 
 
 class Announce(msgspec.Struct, tag='announce', frozen=True):
-    """The versions that the sender holds, by key."""
+    """The versions of the documents that the sender holds, by key."""
 
     versions: dict[str, DocumentVersion]
-    #: Whether the receiver should announce its own in return.
+    #: Whether the receiver should reply with its own versions.
     wants_reply: bool = False
 
 
 class Fetch(msgspec.Struct, tag='fetch', frozen=True):
-    """Ask for a document; ``have`` is the version to build upon."""
+    """Request a document; ``have`` is the version that the sender holds."""
 
     key: str
     have: DocumentVersion
 
 
 class FullDocument(msgspec.Struct, tag='full', frozen=True):
-    """A whole document."""
+    """The complete content of a document."""
 
     key: str
     content: bytes
 
 
 class DocumentDelta(msgspec.Struct, tag='delta', frozen=True):
-    """The changes that turn one version of a document into a later one."""
+    """The changes between one version of a document and a later one."""
 
     key: str
     base: DocumentVersion
     target: DocumentVersion
-    #: JSON object: what changed; see keelgap.dissemination.deltas.
+    #: JSON object; see keelgap.dissemination.documents.
     changes: bytes
 
 
 class Ask(msgspec.Struct, tag='ask', frozen=True):
-    """Ask another agent to run a request, or how a keyed one ended."""
+    """Ask another agent to run a request, or for the outcome of a keyed one."""
 
     ask_id: int
     run_only: bool
@@ -95,12 +96,12 @@
     caller: bytes
     key: str | None
     deadline_seconds: float
-    #: None if the body is too long to be passed on.
+    #: None if the body is too long to be forwarded.
     body: bytes | None
 
 
 class Answer(msgspec.Struct, tag='answer', frozen=True):
-    """The final answer to an Ask: an upstream's answer, or a problem."""
+    """The final answer to an Ask: an upstream's response or a problem."""
 
     ask_id: int
     status: int = 0
@@ -115,7 +116,7 @@
 
 
 class Delivery(NamedTuple):
-    """A message and the control address of its sender."""
+    """A received message and the control address of its sender."""
 
     sender: Address
     message: ControlMessage
@@ -126,20 +127,20 @@
 
 
 def encode_message(sender: Address, message: ControlMessage) -> list[bytes]:
-    """Return the frames of a message."""
-    head = _HEAD.pack(VERSION_MAJOR, VERSION_MINOR, pack_address(sender))
+    """Encode a message as frames."""
+    head = _HEADER.pack(VERSION_MAJOR, VERSION_MINOR, pack_address(sender))
     return [head, _encoder.encode(message)]
 
 
 def decode_message(frames: list[bytes]) -> Delivery:
-    """Return what frames hold; raises a WireError for anything else."""
-    if len(frames) != 2 or len(frames[0]) < _HEAD.size:
+    """Decode the frames of a message; raise a WireError if they are invalid."""
+    if len(frames) != 2 or len(frames[0]) < _HEADER.size:
         raise MalformedMessage
     head, body = frames
-    major, _minor, sender = _HEAD.unpack_from(head)
+    major, _minor, sender = _HEADER.unpack_from(head)
     if major != VERSION_MAJOR:
         raise NewerMajorVersion
-    if len(body) > _MAX_BODY:
+    if len(body) > _MAX_BODY_LENGTH:
         raise MalformedMessage
     try:
         message = _decoder.decode(body)
--- a/packages/keelgap/src/keelgap/dissemination/__init__.py
+++ b/packages/keelgap/src/keelgap/dissemination/__init__.py
@@ -1,5 +1,6 @@
-"""How published documents come into force in every process.
+"""Dissemination of published documents to all processes.
 
 A few processes of each availability zone read the platform's configuration
-service; all others learn from their neighbours.  See docs/topics/table.md.
+service; the others receive documents from their neighbours by gossip.  See
+docs/topics/table.md.
 """
--- a/packages/keelgap/src/keelgap/dissemination/acceptance.py
+++ b/packages/keelgap/src/keelgap/dissemination/acceptance.py
@@ -1,4 +1,4 @@
-"""Accept a document or refuse it, whole; and tell the neighbours."""
+"""Accept or refuse a document as a whole and notify the neighbours."""
 
 from typing import Final
 
@@ -38,13 +38,13 @@
     *,
     wants_reply: bool,
 ) -> Announce:
-    """Return the versions that this process holds."""
+    """Return an announcement of the versions that this process holds."""
     versions = {key: held.document.version for key, held in state.held.items()}
     return Announce(versions, wants_reply)
 
 
 def take_read(state: DisseminationState, event: DocumentRead) -> Effects:
-    """Take what the configuration service returned."""
+    """Handle a document that the configuration service returned."""
     try:
         document = load_document(event.content)
     except UnusableDocument as error:
@@ -52,7 +52,7 @@
     held = state.held[event.key]
     if document.version < held.document.version:
         fault = _make_old_fault(document.version, held.document.version)
-        return _refuse(held, event, document, (fault,))
+        return _refuse_document(held, event, document, (fault,))
     return accept_document(state, event.key, document, event.now)
 
 
@@ -60,21 +60,21 @@
     version: DocumentVersion,
     in_force: DocumentVersion,
 ) -> Fault:
-    """Return why a document of the service is not taken: it is not later.
+    """Return the fault of a document that is older than the one in force.
 
-    Operators who forgot to raise the revision must find out, and so must
-    those whose service was restored from an old copy.
+    It is reported so that operators notice when they did not increase the
+    revision, or when the service was restored from an old backup.
     """
     return Fault(
         _NOT_LATER,
         'revision',
-        f'{version.revision} is not later than {in_force.revision}, '
+        f'{version.revision} is not newer than {in_force.revision}, '
         'which is in force',
         'publish with a higher revision',
     )
 
 
-def _refuse(
+def _refuse_document(
     held: Held,
     event: DocumentRead,
     document: Document,
@@ -91,9 +91,10 @@
     now: float,
     delta: DocumentDelta | None = None,
 ) -> Effects:
-    """Accept a document whole or refuse it whole; never go back.
+    """Accept or refuse a document as a whole; ignore versions not later.
 
-    The delta that led to it, if there was one, is passed on as it is.
+    If the document was built from a received delta, neighbours are sent that
+    delta unchanged.
     """
     held = state.held[key]
     if document.version <= held.document.version:
@@ -102,15 +103,15 @@
         parsed = state.checkers[key](document)
     except TableRefused as refusal:
         event = DocumentRead(now, key, document.content)
-        return _refuse(held, event, document, refusal.faults)
+        return _refuse_document(held, event, document, refusal.faults)
     before = held.document
     held.document = document
     held.parsed = parsed
     held.since = now
     held.highest_heard = max(held.highest_heard, document.version)
-    greetings: Effects = ()
+    announcements: Effects = ()
     if isinstance(parsed, InstanceList):
-        greetings = _take_instances(state, parsed)
+        announcements = _apply_instances(state, parsed)
     if delta is None and before.content:
         delta = DocumentDelta(
             key,
@@ -118,18 +119,18 @@
             document.version,
             compute_changes(before, document),
         )
-    pushes = _push(state, key, delta)
+    notifications = _notify_neighbours(state, key, delta)
     if not state.joined:
-        return (*greetings, *pushes)
-    return (*pushes, PutInForce(key, document, parsed))
+        return (*announcements, *notifications)
+    return (*notifications, PutInForce(key, document, parsed))
 
 
-def _push(
+def _notify_neighbours(
     state: DisseminationState,
     key: str,
     delta: DocumentDelta | None,
 ) -> Effects:
-    """Tell the neighbours: by a delta if it is short, else by version."""
+    """Send the neighbours the delta if it is short, else the versions."""
     message: Announce | DocumentDelta
     message = make_announce(state, wants_reply=False)
     if delta is not None:
@@ -139,19 +140,19 @@
     return tuple(SendMessage(peer, message) for peer in state.neighbours)
 
 
-def _take_instances(
+def _apply_instances(
     state: DisseminationState,
     instances: InstanceList,
 ) -> Effects:
-    """Choose neighbours anew; a joiner asks all of them what they hold."""
+    """Choose neighbours again; a joining process asks them for versions."""
     state.instances = instances
     neighbours = choose_neighbours(state.identity, instances)
     state.neighbours = neighbours or state.identity.seeds
     state.chosen_reader = is_reader(state.identity, instances)
     state.control_by_data = {
-        one.data: one.control for one in instances.instances
+        instance.data: instance.control for instance in instances.instances
     }
     if state.joined or state.heard_peer_at is not None:
         return ()
-    greeting = make_announce(state, wants_reply=True)
-    return tuple(SendMessage(peer, greeting) for peer in state.neighbours)
+    announce = make_announce(state, wants_reply=True)
+    return tuple(SendMessage(peer, announce) for peer in state.neighbours)
--- a/packages/keelgap/src/keelgap/dissemination/defaults.py
+++ b/packages/keelgap/src/keelgap/dissemination/defaults.py
@@ -1,4 +1,4 @@
-"""Default values of dissemination, each with its reason."""
+"""Default values for dissemination."""
 
 from typing import Final
 
@@ -16,36 +16,40 @@
     'TIMER_SECONDS',
 )
 
-#: Readers in each availability zone: one may fail without a gap.
+#: Readers in each availability zone; with two, one may fail without a gap in
+#: reading.
 READER_COUNT: Final = 2
 
-#: Neighbours in the own availability zone.  They are fixed while the list of
-#: instances is, so that connections stay open.
+#: Neighbours in the own availability zone.  They do not change while the list
+#: of instances is unchanged, so that connections stay open.
 LOCAL_NEIGHBOURS: Final = 4
 
 #: Neighbours in other availability zones.
 REMOTE_NEIGHBOURS: Final = 2
 
-#: Pause between exchanges of versions with one neighbour, which repair what
-#: a lost push left behind.
+#: Interval between exchanges of versions with a random neighbour, which
+#: recover from lost pushes.
 ANTI_ENTROPY_SECONDS: Final = 1.0
 
-#: Factors between which that pause varies, so that processes spread out.
+#: Bounds of the random factor on that interval, which prevents processes from
+#: exchanging versions in step.
 ANTI_ENTROPY_SPREAD: Final = (0.7, 1.3)
 
-#: A fetch without an answer may be repeated after this time.
+#: An unanswered fetch may be repeated after this time.
 FETCH_RETRY_SECONDS: Final = 0.5
 
-#: Deltas kept for each document, to serve those who missed some.
+#: Deltas kept for each document, for peers that missed some.
 HISTORY: Final = 32
 
-#: Longest delta that is pushed unasked, in octets.
+#: Maximum length in octets of the deltas that are sent without a request.
 MAX_PUSHED: Final = 4096
 
-#: How long a joiner waits for its peers before it goes by what it has.
+#: How long a joining process waits for its peers before it puts in force what
+#: it holds.
 JOIN_SECONDS: Final = 1.0
 
-#: A process that heard no peer for this time reads the service itself.
+#: A process that received no message from a peer for this time reads the
+#: configuration service itself.
 FALLBACK_SECONDS: Final = 10.0
 
 #: Period of the driver's timer.
--- a/packages/keelgap/src/keelgap/dissemination/documents.py
+++ b/packages/keelgap/src/keelgap/dissemination/documents.py
@@ -1,8 +1,8 @@
-"""Documents in canonical form, their versions and their differences.
+"""Documents in canonical form, their versions and the deltas between them.
 
-Canonical: rows of the sections that have a unique name are sorted by it,
-names of columns are sorted, no white space.  The digest is taken over this
-form, so that a delta can be checked after it was applied.
+In canonical JSON, object keys are sorted, rows of the named sections are
+sorted by name, and there is no white space.  The digest is computed over this
+form, so that the result of applying a delta can be verified.
 """
 
 from collections.abc import Sequence
@@ -23,13 +23,13 @@
     'load_document',
 )
 
-#: Sections whose rows are told apart by their name.
+#: Sections whose rows are identified by their name.
 _NAMED_SECTIONS: Final = ('services', 'upstreams', 'instances')
 _NAME: Final = 'name'
 
 
 class UnusableDocument(KeelgapError):
-    """Octets that are no document, or a delta that does not fit."""
+    """The content is not a valid document or delta."""
 
     code = 'unusable_document'
 
@@ -44,20 +44,20 @@
 
 
 class _Changes(TypedDict):
-    #: Values of all names but those of named sections; None drops a name.
+    #: New values of all keys other than named sections; None removes a key.
     plain: dict[str, Any]
     #: New and changed rows, by section.
     rows: dict[str, list[dict[str, Any]]]
-    #: Names of rows that are gone, by section.
+    #: Names of removed rows, by section.
     gone: dict[str, list[str]]
 
 
-#: What a process has before it heard of any version.
+#: The document of a process that has not received a version yet.
 NO_DOCUMENT: Final = Document(DocumentVersion(0, ''), b'', {})
 
 
 def load_document(content: bytes) -> Document:
-    """Return the canonical form of a JSON document."""
+    """Decode a JSON document and return it in canonical form."""
     try:
         decoded = msgspec.json.decode(content, type=dict[str, Any])
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
@@ -91,7 +91,7 @@
 
 
 def compute_changes(before: Document, after: Document) -> bytes:
-    """Return what turns one document into the other, as JSON."""
+    """Return the changes from one document to another, as JSON."""
     changes = _Changes(plain={}, rows={}, gone={})
     names = before.decoded.keys() | after.decoded.keys()
     for name in sorted(names):
@@ -122,7 +122,7 @@
 
 
 def apply_changes(before: Document, changes: bytes) -> Document:
-    """Return the document after changes; raises UnusableDocument."""
+    """Apply changes to a document; raise UnusableDocument if not valid."""
     try:
         decoded_changes = msgspec.json.decode(changes, type=_Changes)
     except (msgspec.DecodeError, RecursionError) as error:
--- a/packages/keelgap/src/keelgap/dissemination/driver.py
+++ b/packages/keelgap/src/keelgap/dissemination/driver.py
@@ -1,4 +1,4 @@
-"""The driver of dissemination: control channel, reader and timer."""
+"""The dissemination driver: control channel, document reader and timer."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -43,27 +43,27 @@
 
 
 def make_table_checker() -> Checker:
-    """Return a checker that keeps what it knows of unchanged rows."""
+    """Return a parser of tables that reuses the result of unchanged rows."""
     loader = TableLoader()
 
-    def check_table(document: Document) -> Table:
+    def parse_table(document: Document) -> Table:
         return loader.load(document.decoded, document.version.digest)
 
-    return check_table
+    return parse_table
 
 
 def make_instances_checker() -> Checker:
-    """Return a checker that keeps what it knows of unchanged rows."""
+    """Return a parser of instance lists that reuses unchanged instances."""
     loader = InstanceLoader()
 
-    def check_instances(document: Document) -> InstanceList:
+    def parse_instances(document: Document) -> InstanceList:
         return loader.load(document.decoded)
 
-    return check_instances
+    return parse_instances
 
 
 def make_checkers(names: DocumentNames) -> Mapping[str, Checker]:
-    """Return what a process exchanges, and how each is checked."""
+    """Return the parsers of the exchanged documents, by key."""
     return MappingProxyType({
         names.table: make_table_checker(),
         names.instances: make_instances_checker(),
@@ -81,7 +81,7 @@
         metrics: SharedMetrics,
         on_change: Callable[[Parsed], None],
     ) -> None:
-        """Hand every table and list that comes into force to on_change."""
+        """Pass each document that comes into force to on_change."""
         self.state = state
         self.channel = channel
         self.reader = reader
@@ -96,18 +96,18 @@
             PutInForce: self._put_in_force,
             ReportRefusal: self._report_refusal,
             SendMessage: self._send_message,
-            Read: self._choose_reading,
+            Read: self._update_watches,
             Count: self._count,
         })
 
     def start(self, stack: AsyncExitStack) -> None:
-        """Start the timer; the stack stops all tasks."""
+        """Start the timer; closing the stack stops all tasks."""
         timer = asyncio.create_task(self._run_timer())
         stack.callback(timer.cancel)
         stack.callback(self._stop_watches)
 
     def handle_delivery(self, delivery: Delivery) -> bool:
-        """Take a message if it is one of dissemination."""
+        """Handle a dissemination message; return False for any other."""
         message = delivery.message
         if not isinstance(message, DisseminationMessage):
             return False
@@ -116,14 +116,14 @@
         return True
 
     def note_revision(self, sender: Address, revision: int) -> None:
-        """Take the table revision that another process's traffic carries."""
+        """Handle the table revision carried by the traffic of a process."""
         held = self.state.held[self.state.identity.names.table]
         if revision > held.document.version.revision:
             now = self.loop.time()
             self._dispatch(RevisionSeen(now, sender, revision))
 
     def note_document(self, key: str, content: bytes) -> None:
-        """Take a document that the configuration service returned."""
+        """Handle a document that the configuration service returned."""
         self._dispatch(DocumentRead(self.loop.time(), key, content))
 
     async def _run_timer(self) -> None:
@@ -161,7 +161,7 @@
     def _send_message(self, effect: SendMessage) -> None:
         self.channel.send(effect.receiver, effect.message)
 
-    def _choose_reading(self, effect: Read) -> None:
+    def _update_watches(self, effect: Read) -> None:
         self._stop_watches()
         if effect.wanted:
             self.watches = [
--- a/packages/keelgap/src/keelgap/dissemination/effects.py
+++ b/packages/keelgap/src/keelgap/dissemination/effects.py
@@ -1,4 +1,4 @@
-"""Effects that the dissemination reducer asks its driver for."""
+"""Effects that the dissemination reducer requests from its driver."""
 
 from typing import NamedTuple
 
@@ -18,7 +18,7 @@
 
 
 class PutInForce(NamedTuple):
-    """A later version of a document is in force from now on."""
+    """Put a later version of a document in force."""
 
     key: str
     document: Document
@@ -26,7 +26,7 @@
 
 
 class ReportRefusal(NamedTuple):
-    """A document was refused whole; what was in force stays."""
+    """Report a refused document; the version in force is unchanged."""
 
     key: str
     refused: Refused
@@ -40,13 +40,13 @@
 
 
 class Read(NamedTuple):
-    """Start or stop to read the configuration service."""
+    """Start or stop reading the configuration service."""
 
     wanted: bool
 
 
 class Count(NamedTuple):
-    """Count something that operators watch."""
+    """Increment the event counter of the given name."""
 
     name: str
 
--- a/packages/keelgap/src/keelgap/dissemination/events.py
+++ b/packages/keelgap/src/keelgap/dissemination/events.py
@@ -1,4 +1,4 @@
-"""Events of the dissemination reducer; ``now`` is in seconds."""
+"""Events of the dissemination reducer; ``now`` is the time in seconds."""
 
 from typing import NamedTuple
 
@@ -40,7 +40,7 @@
 
 
 class RevisionSeen(NamedTuple):
-    """Traffic of another process carried a table revision."""
+    """The data traffic of another process carried a table revision."""
 
     now: float
     #: Data address of that process.
--- a/packages/keelgap/src/keelgap/dissemination/neighbours.py
+++ b/packages/keelgap/src/keelgap/dissemination/neighbours.py
@@ -1,4 +1,4 @@
-"""Which processes read the service, and which talk to which."""
+"""Choice of the readers and of the neighbours of a process."""
 
 from collections.abc import Iterable
 
@@ -17,8 +17,11 @@
     count: int,
 ) -> list[Address]:
     members = (
-        (Weighted(int.from_bytes(pack_address(one.control)), 1), one.control)
-        for one in instances
+        (
+            Weighted(int.from_bytes(pack_address(instance.control)), 1),
+            instance.control,
+        )
+        for instance in instances
     )
     return rank(key, members, count)
 
@@ -27,16 +30,16 @@
     identity: DisseminationIdentity,
     instances: InstanceList,
 ) -> bool:
-    """Return whether this process is to read for its availability zone.
+    """Return whether this process is a reader of its availability zone.
 
-    All processes with the same list agree; with different lists some more
-    read for a while, which costs reads and nothing else.
+    All processes with the same list of instances agree on the readers.  While
+    lists differ, more processes may read, which only costs more reads.
     """
     zone = identity.availability_zone
     members = [
-        one
-        for one in instances.instances
-        if one.availability_zone == zone and one.state == 'live'
+        instance
+        for instance in instances.instances
+        if instance.availability_zone == zone and instance.state == 'live'
     ]
     chosen = _rank_instances(zone.encode(), members, defaults.READER_COUNT)
     return identity.control in chosen
@@ -46,16 +49,20 @@
     identity: DisseminationIdentity,
     instances: InstanceList,
 ) -> tuple[Address, ...]:
-    """Return the control addresses of a bounded number of neighbours."""
+    """Return the control addresses of the neighbours of this process."""
     key = pack_address(identity.control)
     others = [
-        one
-        for one in instances.instances
-        if one.control != identity.control and one.state == 'live'
+        instance
+        for instance in instances.instances
+        if instance.control != identity.control and instance.state == 'live'
     ]
     zone = identity.availability_zone
-    local = [one for one in others if one.availability_zone == zone]
-    remote = [one for one in others if one.availability_zone != zone]
+    local = [
+        instance for instance in others if instance.availability_zone == zone
+    ]
+    remote = [
+        instance for instance in others if instance.availability_zone != zone
+    ]
     return (
         *_rank_instances(key, local, defaults.LOCAL_NEIGHBOURS),
         *_rank_instances(key, remote, defaults.REMOTE_NEIGHBOURS),
--- a/packages/keelgap/src/keelgap/dissemination/reducer.py
+++ b/packages/keelgap/src/keelgap/dissemination/reducer.py
@@ -1,8 +1,8 @@
 """The dissemination reducer: ``(state, event) -> (state, effects)``.
 
-The version in force under a key only rises, whatever the service or a peer
-says: versions are ordered by revision and then by digest, so that processes
-that got different documents of one revision still agree in the end.
+The version held under a key never decreases, whatever the service or a peer
+sends.  Versions are ordered by revision and then by digest, so that processes
+that received different documents of one revision still converge.
 """
 
 from collections.abc import Callable
@@ -48,11 +48,11 @@
     state: DisseminationState,
     event: DisseminationEvent,
 ) -> tuple[DisseminationState, Effects]:
-    """Return the state after an event and what the driver must do."""
+    """Apply an event; return the state and the effects for the driver."""
     return state, _HANDLERS[type(event)](state, event)
 
 
-def _take_message(
+def _handle_message(
     state: DisseminationState,
     event: MessageReceived,
 ) -> Effects:
@@ -61,18 +61,18 @@
     return handler(state, event, event.message)
 
 
-def _take_announce(
+def _handle_announce(
     state: DisseminationState,
     event: MessageReceived,
     message: Announce,
 ) -> Effects:
     effects: list[DisseminationEffect] = []
     for key, held in state.held.items():
-        theirs = message.versions.get(key)
-        if theirs is None:
+        peer_version = message.versions.get(key)
+        if peer_version is None:
             continue
-        held.highest_heard = max(held.highest_heard, theirs)
-        if theirs > held.document.version:
+        held.highest_heard = max(held.highest_heard, peer_version)
+        if peer_version > held.document.version:
             effects.extend(_fetch(state, key, event.sender, event.now))
     if message.wants_reply:
         reply = acceptance.make_announce(state, wants_reply=False)
@@ -86,15 +86,16 @@
     peer: Address,
     message: Announce,
 ) -> Effects:
-    """Send what a peer lacks at once, if it is short.
+    """Send the deltas that a peer lacks without a request, if they are short.
 
-    That saves a round trip, and a lost message less can delay the repair.
+    This saves a round trip, and with it a message whose loss would delay the
+    recovery.
     """
     effects: list[DisseminationEffect] = []
-    for key, theirs in message.versions.items():
+    for key, peer_version in message.versions.items():
         held = state.held.get(key)
-        if held is not None and held.document.version > theirs:
-            deltas = _find_deltas(tuple(held.history), theirs)
+        if held is not None and held.document.version > peer_version:
+            deltas = _find_deltas(tuple(held.history), peer_version)
             octets = sum(len(delta.changes) for delta in deltas)
             if octets <= defaults.MAX_PUSHED:
                 effects.extend(SendMessage(peer, delta) for delta in deltas)
@@ -114,7 +115,7 @@
     return (SendMessage(peer, Fetch(key, held.document.version)),)
 
 
-def _take_fetch(
+def _handle_fetch(
     state: DisseminationState,
     event: MessageReceived,
     message: Fetch,
@@ -139,7 +140,7 @@
     return ()
 
 
-def _take_full(
+def _handle_full(
     state: DisseminationState,
     event: MessageReceived,
     message: FullDocument,
@@ -154,7 +155,7 @@
     return acceptance.accept_document(state, message.key, document, event.now)
 
 
-def _take_delta(
+def _handle_delta(
     state: DisseminationState,
     event: MessageReceived,
     message: DocumentDelta,
@@ -179,11 +180,12 @@
     )
 
 
-def _take_revision(state: DisseminationState, event: RevisionSeen) -> Effects:
-    """Pull the table from whoever shows in its traffic that it is ahead.
+def _handle_revision(state: DisseminationState, event: RevisionSeen) -> Effects:
+    """Fetch the table from a process whose traffic carries a later revision.
 
-    It is a minimum revision that a trusted sender vouches for, as in the
-    revision gate of "The write succeeded, then the old value came back".
+    The sender is authenticated, so its revision is a lower bound for the
+    latest one, as in the revision gate of "The write succeeded, then the old
+    value came back".
     """
     name = state.identity.names.table
     held = state.held[name]
@@ -198,19 +200,19 @@
 
 def _handle_timer(state: DisseminationState, event: TimerFired) -> Effects:
     return (
-        *_choose_reading(state, event.now),
-        *_fetch_again(state, event.now),
+        *_update_reading(state, event.now),
+        *_retry_fetches(state, event.now),
         *_exchange(state, event.now),
-        *_join(state, event.now),
+        *_complete_joining(state, event.now),
     )
 
 
-def _choose_reading(state: DisseminationState, now: float) -> Effects:
-    heard = state.heard_peer_at
-    last = state.started if heard is None else heard
-    alone = now - last >= defaults.FALLBACK_SECONDS
-    newcomer = not state.joined
-    wanted = state.chosen_reader or alone or newcomer
+def _update_reading(state: DisseminationState, now: float) -> Effects:
+    last_message_at = state.heard_peer_at
+    reference = state.started if last_message_at is None else last_message_at
+    is_isolated = now - reference >= defaults.FALLBACK_SECONDS
+    is_joining = not state.joined
+    wanted = state.chosen_reader or is_isolated or is_joining
     if wanted == state.reading:
         return ()
     state.reading = wanted
@@ -228,29 +230,29 @@
     )
 
 
-def _fetch_again(state: DisseminationState, now: float) -> Effects:
-    """Ask some neighbour for what was heard of and has not come yet."""
+def _retry_fetches(state: DisseminationState, now: float) -> Effects:
+    """Ask a random neighbour for announced versions not yet received."""
     effects: list[DisseminationEffect] = []
     for key, held in state.held.items():
-        behind = held.highest_heard > held.document.version
-        if behind and state.neighbours:
+        is_behind = held.highest_heard > held.document.version
+        if is_behind and state.neighbours:
             peer = state.random.choice(state.neighbours)
             effects.extend(_fetch(state, key, peer, now))
     return tuple(effects)
 
 
-def _join(state: DisseminationState, now: float) -> Effects:
-    """Let a joiner work once it holds the highest version it heard of."""
+def _complete_joining(state: DisseminationState, now: float) -> Effects:
+    """Complete joining once the highest announced versions are held."""
     name = state.identity.names.table
     if state.joined or not state.held[name].document.content:
         return ()
-    waited = now - state.started >= defaults.JOIN_SECONDS
-    asked = state.heard_peer_at is not None or not state.neighbours
-    current = all(
+    is_timed_out = now - state.started >= defaults.JOIN_SECONDS
+    has_heard_peers = state.heard_peer_at is not None or not state.neighbours
+    is_current = all(
         held.document.version >= held.highest_heard
         for held in state.held.values()
     )
-    if not waited and not (asked and current):
+    if not is_timed_out and not (has_heard_peers and is_current):
         return ()
     state.joined = True
     return tuple(
@@ -265,8 +267,8 @@
     Callable[[DisseminationState, Any], Effects],
 ]({
     DocumentRead: acceptance.take_read,
-    MessageReceived: _take_message,
-    RevisionSeen: _take_revision,
+    MessageReceived: _handle_message,
+    RevisionSeen: _handle_revision,
     TimerFired: _handle_timer,
 })
 
@@ -274,8 +276,8 @@
     type,
     Callable[[DisseminationState, MessageReceived, Any], Effects],
 ]({
-    Announce: _take_announce,
-    Fetch: _take_fetch,
-    FullDocument: _take_full,
-    DocumentDelta: _take_delta,
+    Announce: _handle_announce,
+    Fetch: _handle_fetch,
+    FullDocument: _handle_full,
+    DocumentDelta: _handle_delta,
 })
--- a/packages/keelgap/src/keelgap/dissemination/source.py
+++ b/packages/keelgap/src/keelgap/dissemination/source.py
@@ -1,8 +1,8 @@
-"""Blocking queries at the platform's configuration service.
+"""Blocking queries to the platform's configuration service.
 
-``GET {url}/v1/kv/{key}?index=N&wait=30s`` answers with the value at once if
-its index differs from N, else when it changes or the wait is over.  The
-header ``X-Index`` holds the index of the value.
+``GET {url}/v1/kv/{key}?index=N&wait=30s`` returns the value at once if its
+index differs from N; otherwise it returns when the value changes or the wait
+expires.  The header ``X-Index`` holds the index of the value.
 """
 
 import asyncio
@@ -25,20 +25,20 @@
     ValueError,
     PartMismatch,
 )
-_GRACE_SECONDS: Final = 5.0
+_TIMEOUT_MARGIN_SECONDS: Final = 5.0
 _BACKOFF_BASE_SECONDS: Final = 0.25
 _BACKOFF_MAX_SECONDS: Final = 5.0
-_MAX_STEPS: Final = 5
+_MAX_BACKOFF_EXPONENT: Final = 5
 
 
 class _Value(NamedTuple):
     content: bytes
-    #: Value of the index header.
-    version: int
+    #: Index of the value, from the index header.
+    store_index: int
 
 
-async def _read_all(response: aiohttp.ClientResponse) -> bytes:
-    """Return the body, cut one octet after the longest that is allowed."""
+async def _read_body(response: aiohttp.ClientResponse) -> bytes:
+    """Return the body, truncated one octet beyond the maximum length."""
     content = bytearray()
     async for chunk in response.content.iter_any():
         content.extend(chunk)
@@ -48,7 +48,7 @@
 
 
 class DocumentReader:
-    """Watch some keys of the service until cancelled."""
+    """Watch keys of the configuration service until cancelled."""
 
     def __init__(
         self,
@@ -57,36 +57,36 @@
         random: Random,
         on_document: Callable[[str, bytes], None],
     ) -> None:
-        """Use a session that its owner closes."""
+        """Set the session, which the caller closes, and the callback."""
         self.session = session
         self.settings = settings
         self.random = random
         self.on_document = on_document
 
     async def watch(self, key: str) -> None:
-        """Read a key for ever; pause and try again when the read fails."""
+        """Watch a key indefinitely, with exponential backoff after failures."""
         index = 0
-        failed = 0
+        failures = 0
         while True:
             try:
                 index = await self._read(key, index)
             except _READ_ERRORS:
-                failed += 1
-                # The value may be an older one when the service is back.
+                failures += 1
+                # After an outage the service may hold an older value.
                 index = 0
-                await asyncio.sleep(self._compute_pause(failed))
+                await asyncio.sleep(self._compute_backoff(failures))
             else:
-                failed = 0
+                failures = 0
 
     async def _read(self, key: str, index: int) -> int:
         wait = self.settings.wait_seconds
         value = await self._get(key, index, wait)
-        if value.version != index:
-            self.on_document(key, await self._complete(value.content))
-        return value.version
+        if value.store_index != index:
+            self.on_document(key, await self._load_parts(value.content))
+        return value.store_index
 
-    async def _complete(self, content: bytes) -> bytes:
-        """Return a whole document, reading the parts that it names."""
+    async def _load_parts(self, content: bytes) -> bytes:
+        """Return the whole document, with the parts listed in a manifest."""
         parts = list_parts(content)
         if not parts:
             return content
@@ -101,13 +101,15 @@
         async with self.session.get(
             f'{base}/v1/kv/{key}',
             params={'index': str(index), 'wait': f'{wait}s'},
-            timeout=aiohttp.ClientTimeout(total=wait + _GRACE_SECONDS),
+            timeout=aiohttp.ClientTimeout(total=wait + _TIMEOUT_MARGIN_SECONDS),
             raise_for_status=True,
         ) as response:
-            content = await _read_all(response)
+            content = await _read_body(response)
             return _Value(content, int(response.headers[INDEX_HEADER]))
 
-    def _compute_pause(self, failed: int) -> float:
-        pause = _BACKOFF_BASE_SECONDS * 2 ** min(failed, _MAX_STEPS)
-        bounded = min(pause, _BACKOFF_MAX_SECONDS)
+    def _compute_backoff(self, failures: int) -> float:
+        backoff = _BACKOFF_BASE_SECONDS * 2 ** min(
+            failures, _MAX_BACKOFF_EXPONENT
+        )
+        bounded = min(backoff, _BACKOFF_MAX_SECONDS)
         return float(bounded * self.random.uniform(0.5, 1))
--- a/packages/keelgap/src/keelgap/dissemination/state.py
+++ b/packages/keelgap/src/keelgap/dissemination/state.py
@@ -1,4 +1,4 @@
-"""State of dissemination in one process."""
+"""Dissemination state of one process."""
 
 from collections import deque
 from collections.abc import Callable, Mapping
@@ -23,17 +23,18 @@
     'Refused',
 )
 
-#: What a document means to the rest of the process.
+#: The parsed form of a document, which the rest of the process uses.
 Parsed = Table | InstanceList
-#: Raises TableRefused for a document that must not come into force.
+#: Parses a document, or raises TableRefused if it is invalid.
 Checker = Callable[[Document], Parsed]
 
 
 class DocumentNames(NamedTuple):
-    """Names under which processes exchange documents.
+    """Keys under which processes exchange documents.
 
-    They are the keys of the configuration service.  Processes with other
-    names, such as those of another region, do not mix.
+    They are also the keys of the configuration service.  Processes that use
+    different keys, such as those of another region, ignore each other's
+    documents.
     """
 
     table: str = 'table'
@@ -41,17 +42,18 @@
 
 
 class DisseminationIdentity(NamedTuple):
-    """Who this process is; fixed for its life."""
+    """Identity of this process, constant over its lifetime."""
 
     control: Address
     availability_zone: str
-    #: Control addresses to ask before any list of instances is known.
+    #: Control addresses of the peers to contact before a list of instances is
+    #: known.
     seeds: tuple[Address, ...] = ()
     names: DocumentNames = DocumentNames()
 
 
 class Refused(NamedTuple):
-    """The last document that was refused, for the read-back."""
+    """The last document that was refused, for the status pages."""
 
     version: DocumentVersion
     now: float
@@ -59,23 +61,23 @@
 
 
 class Held:
-    """What a process holds under one key."""
+    """The document that a process holds under one key."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start without a document."""
         self.document: Document = NO_DOCUMENT
         self.parsed: Parsed | None = None
         #: Time at which the document came into force.
         self.since = float('-inf')
         self.refused: Refused | None = None
-        #: Deltas that lead to the document, oldest first.
+        #: Deltas that lead to the current document, oldest first.
         self.history: deque[DocumentDelta] = deque(maxlen=defaults.HISTORY)
         self.highest_heard = NO_DOCUMENT.version
         self.fetched_at = float('-inf')
 
 
 class DisseminationState:
-    """What the reducer owns; it alone changes it, in place."""
+    """State of the reducer, which alone modifies it, in place."""
 
     def __init__(
         self,
@@ -84,7 +86,7 @@
         random: Random,
         now: float,
     ) -> None:
-        """Start with nothing, for the keys that have a checker."""
+        """Start without documents, with one entry for each parser."""
         self.identity = identity
         self.checkers = checkers
         self.random = random
@@ -95,7 +97,7 @@
         self.control_by_data: dict[Address, Address] = {}
         self.chosen_reader = False
         self.reading = False
-        #: Whether documents come into force, or are held back by a joiner.
+        #: False while a joining process does not put documents in force yet.
         self.joined = False
         self.heard_peer_at: float | None = None
         self.exchange_at = now
--- a/packages/keelgap/src/keelgap/events.py
+++ b/packages/keelgap/src/keelgap/events.py
@@ -1,6 +1,6 @@
-"""Events that the reducers of both programs know.
+"""Events handled by the reducers of both programs.
 
-``now`` is in seconds of one clock, in every event.
+``now`` is the time of the event in seconds, on the same clock for all events.
 """
 
 from typing import NamedTuple
@@ -12,14 +12,14 @@
 
 
 class TableChanged(NamedTuple):
-    """A later table is in force."""
+    """A later table came into force."""
 
     now: float
     table: Table
 
 
 class InstancesChanged(NamedTuple):
-    """A later list of instances is known."""
+    """A later list of instances came into force."""
 
     now: float
     instances: InstanceList
@@ -32,6 +32,6 @@
 
 
 class StopRequested(NamedTuple):
-    """The process was asked to stop in a planned way."""
+    """The process was asked to shut down gracefully."""
 
     now: float
--- a/packages/keelgap/src/keelgap/exceptions.py
+++ b/packages/keelgap/src/keelgap/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors that both programs share; every failure has a type."""
+"""Exceptions shared by both programs."""
 
 from typing import ClassVar, NamedTuple
 
@@ -12,19 +12,19 @@
 
 
 class Fault(NamedTuple):
-    """One thing that a check found wrong."""
+    """A fault found by a check."""
 
-    #: Stable id such as ``keelgap.E003``, listed in docs/ref/errors.md.
+    #: Stable id, such as ``keelgap.E003``, listed in docs/ref/errors.md.
     fault_id: str
-    #: What is at fault: a settings name, or a table row and column.
+    #: Location of the fault: a settings name, or a table row and column.
     subject: str
-    #: What is wrong with it.
+    #: What is wrong.
     problem: str
-    #: What the operator can do about it.
+    #: How the operator can correct it.
     hint: str
 
     def __str__(self) -> str:
-        """Render the fault as one line."""
+        """Format the fault as one line."""
         return (
             f'{self.subject}: ({self.fault_id}) {self.problem}. '
             f'HINT: {self.hint}'
@@ -32,33 +32,33 @@
 
 
 class KeelgapError(Exception):
-    """The root of all errors that keelgap raises."""
+    """Base class of the exceptions that keelgap raises."""
 
-    #: Label of this error in metrics and logs.
+    #: Label of the error in metrics and logs.
     code: ClassVar[str] = 'error'
 
 
 class _FaultyInput(KeelgapError):
-    """Input that checks refused, with every fault found."""
+    """An input failed its checks; holds every fault found."""
 
     def __init__(self, faults: tuple[Fault, ...]) -> None:
-        """Keep the faults for the caller to print."""
+        """Store the faults for printing."""
         super().__init__(faults)
         self.faults = faults
 
     def __str__(self) -> str:
-        """Render one fault a line."""
+        """Format the faults, one on each line."""
         return '\n'.join(str(fault) for fault in self.faults)
 
 
 class ImproperlyConfigured(_FaultyInput):
-    """The settings cannot be used."""
+    """The settings are invalid."""
 
     code = 'improperly_configured'
 
 
 class TableRefused(_FaultyInput):
-    """A table document was refused whole."""
+    """A table or instance document is invalid and was refused as a whole."""
 
     code = 'table_refused'
 
@@ -69,12 +69,12 @@
     code = 'port_in_use'
 
     def __init__(self, name: str, host: str, port: int) -> None:
-        """Say which settings name asked for which address."""
+        """Store the settings name and the address that it requested."""
         super().__init__(name, host, port)
         self.name = name
         self.host = host
         self.port = port
 
     def __str__(self) -> str:
-        """Name the setting and the address."""
+        """Return a message with the settings name and the address."""
         return f'{self.name}: cannot bind {self.host}:{self.port}'
--- a/packages/keelgap/src/keelgap/instances.py
+++ b/packages/keelgap/src/keelgap/instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving instances; it lags."""
+"""The platform's list of live and leaving instances, which may be outdated."""
 
 from typing import (
     Any,
@@ -32,25 +32,25 @@
 
 class _InstanceDocument(TypedDict):
     revision: int
-    #: Each an _InstanceRow, checked when it is first seen.
+    #: _InstanceRow objects, each validated when it is first loaded.
     instances: list[Any]
 
 
 class Instance(NamedTuple):
-    """One process of the fleet as the platform knows it."""
+    """One process of the fleet, as listed by the platform."""
 
     name: str
     role: Role
     #: UDP address for encapsulated datagrams.
     data: Address
-    #: TCP address for pyzmq.
+    #: TCP address for control messages (pyzmq).
     control: Address
     availability_zone: str
     state: InstanceState
 
 
 class InstanceList(NamedTuple):
-    """All instances at one revision of the list."""
+    """All instances in one revision of the list."""
 
     revision: int
     instances: tuple[Instance, ...]
@@ -58,7 +58,7 @@
     def select_data(
         self, role: Role, state: InstanceState
     ) -> frozenset[Address]:
-        """Return the data addresses of one role in one state."""
+        """Return the data addresses of the instances of a role and state."""
         return frozenset(
             instance.data
             for instance in self.instances
@@ -66,25 +66,26 @@
         )
 
 
-#: What a process has before it heard of any list.
+#: The list of a process that has not received one yet.
 NO_INSTANCES: Final = InstanceList(0, ())
 
 
 class InstanceLoader:
-    """Turn one version of the list after the other into InstanceLists.
+    """Convert successive versions of the list to InstanceLists.
 
-    As in the table's loader, rows that are the same objects as in the version
-    before are not built again.
+    As in TableLoader, rows that are the same objects as in the previous
+    version are not converted again.
     """
 
     def __init__(self) -> None:
-        """Start without an earlier version."""
-        #: The last accepted rows; keeps their ids in use.
+        """Start without a previous version."""
+        #: The last accepted rows; the references keep their ids from being
+        #: reused.
         self.accepted: list[object] = []
         self.built: dict[int, Instance] = {}
 
     def load(self, decoded: object) -> InstanceList:
-        """Return the list of a decoded document, or raise TableRefused."""
+        """Convert a decoded document; raise TableRefused if it is invalid."""
         try:
             document = msgspec.convert(decoded, _InstanceDocument)
             built = {
--- a/packages/keelgap/src/keelgap/keys.py
+++ b/packages/keelgap/src/keelgap/keys.py
@@ -1,4 +1,4 @@
-"""Keys that all processes of a fleet share, read from files."""
+"""Keys shared by all processes of a fleet, read from files."""
 
 from pathlib import Path
 from typing import Final, NamedTuple
@@ -21,18 +21,18 @@
 
 
 class FleetKeys(NamedTuple):
-    """The live keys by key id; never logged."""
+    """The live keys, by key id; they must never be logged."""
 
     connection_ids: dict[int, bytes]
     connection_ids_issue: int
     mac: dict[int, bytes]
     mac_sign: int
-    #: CURVE key pair of the fleet in Z85, as pyzmq takes it.
+    #: CURVE key pair of the fleet in Z85, the encoding that pyzmq uses.
     curve_public: bytes
     curve_secret: bytes
 
     def make_connection_ids(self) -> ConnectionIdCodec:
-        """Return a codec for connection ids under these keys."""
+        """Return a codec for connection ids that uses these keys."""
         return ConnectionIdCodec(
             self.connection_ids,
             self.connection_ids_issue,
@@ -43,12 +43,12 @@
         incarnation: int,
         address: Address,
     ) -> EnvelopeCodec:
-        """Return a codec for envelopes of one process under these keys."""
+        """Return a codec for the envelopes of one process."""
         return EnvelopeCodec(self.mac, self.mac_sign, incarnation, address)
 
 
 class _KeyReader:
-    """Read key files and collect what is wrong with them."""
+    """Read key files and collect their faults."""
 
     def __init__(self) -> None:
         self.faults: list[Fault] = []
@@ -59,7 +59,7 @@
         files: tuple[str, str],
         length: int,
     ) -> dict[int, bytes]:
-        """Return the keys of the files that are named, by key id."""
+        """Return the keys of the configured files, by key id."""
         return {
             key_id: self.read_hexadecimal(f'{name}_{suffix}', path, length)
             for key_id, suffix, path in zip(_KEY_IDS, _SUFFIXES, files)
@@ -67,37 +67,37 @@
         }
 
     def read_hexadecimal(self, name: str, path: str, length: int) -> bytes:
-        """Return a key of a known length."""
+        """Return a key of the given length from a hexadecimal file."""
         try:
             key = bytes.fromhex(self.read_text(name, path))
         except ValueError:
             key = b''
         if len(key) != length:
-            self.report(name, f'{path} does not hold {length} octets')
+            self.record_fault(name, f'{path} does not hold {length} octets')
         return key
 
     def read_curve(self, name: str, path: str) -> bytes:
-        """Return one half of the CURVE key pair in Z85."""
+        """Return the public or secret CURVE key of a file, in Z85."""
         text = self.read_text(name, path).strip()
         if len(text) != _CURVE_TEXT_LENGTH:
-            self.report(name, f'{path} does not hold a Z85 key')
+            self.record_fault(name, f'{path} does not hold a Z85 key')
         return text.encode()
 
     def read_text(self, name: str, path: str) -> str:
-        """Return the text of a file, empty if it cannot be read."""
+        """Return the text of a file, or an empty string if it is unreadable."""
         try:
             return Path(path).read_text('utf-8')
         except (OSError, UnicodeDecodeError) as error:
-            self.report(name, f'cannot read {path}: {error}')
+            self.record_fault(name, f'cannot read {path}: {error}')
             return ''
 
-    def report(self, name: str, problem: str) -> None:
-        """Note a fault of a key file."""
+    def record_fault(self, name: str, problem: str) -> None:
+        """Record a fault of a key file."""
         self.faults.append(Fault(_BAD_KEY, name, problem, _HINT))
 
 
 def load_keys(settings: KeySettings) -> FleetKeys:
-    """Return the keys; raises ImproperlyConfigured with every fault."""
+    """Return the keys; raise ImproperlyConfigured with every fault found."""
     reader = _KeyReader()
     keys = FleetKeys(
         reader.read_pair(
@@ -122,18 +122,18 @@
 
 
 def _check_key_ids(keys: FleetKeys) -> list[Fault]:
-    chosen = (
+    selected = (
         ('keys.connection_ids_issue', keys.connection_ids_issue),
         ('keys.mac_sign', keys.mac_sign),
     )
-    live = (keys.connection_ids, keys.mac)
+    available = (keys.connection_ids, keys.mac)
     return [
         Fault(
             _BAD_KEY_ID,
             name,
-            f'there is no key with id {key_id}',
-            'name the id of a key that has a file',
+            f'no key has the id {key_id}',
+            'use the id of a key that has a file',
         )
-        for (name, key_id), members in zip(chosen, live, strict=True)
+        for (name, key_id), members in zip(selected, available, strict=True)
         if key_id not in members
     ]
--- a/packages/keelgap/src/keelgap/logs.py
+++ b/packages/keelgap/src/keelgap/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines with fixed field names."""
+"""Logging as JSON lines with fixed field names."""
 
 import sys
 from typing import TYPE_CHECKING, Any, Final
@@ -15,10 +15,10 @@
 
 
 def configure_logs(program: str, instance: str) -> None:
-    """Send all records to standard error, one JSON object a line.
+    """Write all records to standard error, one JSON object on each line.
 
-    Fields: ``time`` (RFC 3339), ``level``, ``program``, ``instance``,
-    ``event``, and what the record was bound to.
+    The fields are ``time`` (RFC 3339), ``level``, ``program``, ``instance``,
+    ``event`` and those bound to the record.
     """
     logger.remove()
     logger.configure(extra={'program': program, 'instance': instance})
--- a/packages/keelgap/src/keelgap/metrics.py
+++ b/packages/keelgap/src/keelgap/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics that both programs keep, on a registry of their own."""
+"""Metrics of both programs, in a registry for each process."""
 
 from typing import Final
 
@@ -10,10 +10,10 @@
 
 
 class SharedMetrics:
-    """Counters and gauges of one process; docs/ref/metrics.md lists them."""
+    """Counters and gauges of one process, listed in docs/ref/metrics.md."""
 
     def __init__(self) -> None:
-        """Register all of them."""
+        """Register the metrics."""
         self.registry = CollectorRegistry()
         self.drops = Counter(
             'drops',
--- a/packages/keelgap/src/keelgap/plane.py
+++ b/packages/keelgap/src/keelgap/plane.py
@@ -1,4 +1,4 @@
-"""The control side of a process: control channel, dissemination, admin."""
+"""The control plane of a process: control channel and dissemination."""
 
 import asyncio
 import time
@@ -36,12 +36,12 @@
     'start_control_plane',
 )
 
-_NANOSECONDS: Final = 1000000
+_NANOSECONDS_PER_MILLISECOND: Final = 1000000
 _BAD_SEED: Final = 'keelgap.E024'
 
 
 class PlaneSettings(NamedTuple):
-    """The settings that the control side reads."""
+    """The settings that the control plane uses."""
 
     instance: InstanceSettings
     listen: ListenSettings
@@ -49,15 +49,15 @@
 
 
 class ControlPlane(NamedTuple):
-    """What a program does control with."""
+    """The running control plane of a process."""
 
     channel: ControlChannel
     dissemination: DisseminationDriver
 
 
 def make_incarnation() -> int:
-    """Return the start time in milliseconds since the epoch."""
-    return time.time_ns() // _NANOSECONDS
+    """Return the start time of the process, in milliseconds since the epoch."""
+    return time.time_ns() // _NANOSECONDS_PER_MILLISECOND
 
 
 async def start_control_plane(
@@ -68,9 +68,9 @@
     on_other: Callable[[Delivery], None],
     stack: AsyncExitStack,
 ) -> ControlPlane:
-    """Bind the control port and start to learn; the stack stops it all.
+    """Bind the control port and start dissemination until the stack closes.
 
-    Messages that are not of dissemination go to on_other.
+    Messages that do not concern dissemination go to on_other_message.
     """
     address = settings.instance.address
     control = Address(address, settings.listen.control_port)
@@ -107,20 +107,20 @@
             settings.config_service.instances_key,
         ),
     )
-    # The clock of all events is the loop's.
+    # All events use the clock of the event loop.
     now = asyncio.get_running_loop().time()
     state = DisseminationState(
         identity, make_checkers(identity.names), random, now
     )
 
-    def hand_on(key: str, content: bytes) -> None:
+    def on_document(key: str, content: bytes) -> None:
         driver.note_document(key, content)
 
     reader = DocumentReader(
         session,
         settings.config_service,
         random,
-        hand_on,
+        on_document,
     )
     driver = DisseminationDriver(state, channel, reader, metrics, on_change)
     return driver
--- a/packages/keelgap/src/keelgap/process.py
+++ b/packages/keelgap/src/keelgap/process.py
@@ -1,4 +1,4 @@
-"""What a program does around its server: loop, signals, typed failures."""
+"""Entry point shared by both programs: event loop, signals and errors."""
 
 import asyncio
 import resource
@@ -22,25 +22,25 @@
 
 
 class Server(Protocol):
-    """A balancer or an agent."""
+    """The server of a balancer or an agent."""
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Bind everything; the stack closes it."""
+        """Bind the ports and start serving until the stack closes."""
 
     async def drain(self) -> None:
-        """Leave in a planned way."""
+        """Shut down gracefully."""
 
 
 def exit_on_error(error: KeelgapError) -> int:
-    """Print a typed failure without a traceback; return the exit status."""
+    """Print an error without its traceback and return the exit status."""
     print(f'{error.code}: {error}', file=sys.stderr)  # noqa: WPS421
     return EXIT_BAD_SETTINGS
 
 
 def _raise_file_limit() -> None:
-    """Allow as many sockets as the system lets this process have.
+    """Raise the limit on open files to the hard limit.
 
-    A balancer has one for each service, 7,800 at the size to design for.
+    A balancer has one socket for each service: 7,800 at the design size.
     """
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
--- a/packages/keelgap/src/keelgap/readback.py
+++ b/packages/keelgap/src/keelgap/readback.py
@@ -1,4 +1,4 @@
-"""Read what is in force from the admin addresses of processes."""
+"""Client for the admin pages of processes."""
 
 import asyncio
 from collections.abc import Iterable
@@ -15,13 +15,13 @@
 
 
 class Unreachable(KeelgapError):
-    """An admin address does not answer."""
+    """An admin address did not return a valid page."""
 
     code = 'unreachable'
 
 
 class Reading(NamedTuple):
-    """What one admin address said, or why it did not."""
+    """A page of one admin address, or the error if it was not available."""
 
     address: str
     document: Any
@@ -29,7 +29,7 @@
 
 
 async def read_page(address: str, path: str) -> Any:
-    """Return the JSON of one page, or raise Unreachable."""
+    """Return the decoded JSON of a page, or raise Unreachable."""
     url = f'http://{address}{path}'
     try:
         async with aiohttp.ClientSession(timeout=_TIMEOUT) as session:
@@ -40,8 +40,10 @@
 
 
 async def read_all(addresses: Iterable[str], path: str) -> list[Reading]:
-    """Return the same page of several processes."""
-    return list(await asyncio.gather(*(_try(one, path) for one in addresses)))
+    """Fetch the same page of several processes concurrently."""
+    return list(
+        await asyncio.gather(*(_try(address, path) for address in addresses))
+    )
 
 
 async def _try(address: str, path: str) -> Reading:
--- a/packages/keelgap/src/keelgap/routing/__init__.py
+++ b/packages/keelgap/src/keelgap/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which agent a caller's datagram belongs to."""
+"""Selection of the agent for a caller's datagram."""
--- a/packages/keelgap/src/keelgap/routing/connection_ids.py
+++ b/packages/keelgap/src/keelgap/routing/connection_ids.py
@@ -1,10 +1,10 @@
-"""Connection ids that name the agent which owns the flow.
+"""Connection ids that encode the agent which owns the flow.
 
-The idea is that of draft-ietf-quic-load-balancers (QUIC-LB): a server puts
-its own identity, encrypted in a single AES block, into the connection ids it
-issues, so that any balancer with the key routes a packet without history.
-Layout of the block: IPv4 (4 octets), port (2), service number (2), random
-nonce (5), check (3).  One octet with the key id goes before the block.
+As in draft-ietf-quic-load-balancers (QUIC-LB), a server encrypts its identity
+in a single AES block of the connection ids that it issues, so that any
+balancer that has the key can route a packet without per-flow state.  Layout of
+the block: IPv4 address (4 octets), port (2), service number (2), random nonce
+(5) and a constant check pattern (3).  The key id (1 octet) precedes the block.
 """
 
 import secrets
@@ -26,27 +26,27 @@
 
 __all__ = ('KEY_LENGTH', 'ConnectionIdCodec', 'FlowOwner')
 
-#: Octets of a key: AES-128.
+#: Length of an AES-128 key in octets.
 KEY_LENGTH: Final = 16
 _BLOCK = struct.Struct('!6sH5s3s')
 _OWNER = struct.Struct('!6sH')
 _OWNER_LENGTH: Final = _OWNER.size
-#: More than the agents of the largest fleet.
+#: Exceeds the number of agents in the largest fleet.
 _CACHE_SIZE: Final = 32768
 _NONCE_LENGTH: Final = 5
-_CHECK: Final = b'\x6b\x67\x01'
+_CHECK_PATTERN: Final = b'\x6b\x67\x01'
 _RESET_TOKEN_LENGTH: Final = 16
 
 
 class FlowOwner(NamedTuple):
-    """The agent that issued a connection id, and for which service."""
+    """The agent that issued a connection id, and the service of the flow."""
 
     agent: Address
     service: int
 
 
 @lru_cache(maxsize=_CACHE_SIZE)
-def _read_owner(packed: bytes) -> FlowOwner:
+def _unpack_owner(packed: bytes) -> FlowOwner:
     agent, service = _OWNER.unpack(packed)
     return FlowOwner(unpack_address(agent), service)
 
@@ -57,17 +57,17 @@
 
 
 def _make_contexts(key: bytes) -> _KeyContexts:
-    # One block a message and a random nonce in each: ECB is what QUIC-LB's
-    # single-pass encryption amounts to.
+    # Each message is one block that contains a random nonce, so ECB is
+    # equivalent to the single-pass encryption of QUIC-LB.
     cipher = Cipher(algorithms.AES(key), modes.ECB())  # noqa: S305
     return _KeyContexts(cipher.encryptor(), cipher.decryptor())
 
 
 class ConnectionIdCodec:
-    """Issue and read connection ids under the live keys."""
+    """Issue and decode connection ids with the live keys."""
 
     def __init__(self, keys: dict[int, bytes], issuing_key_id: int) -> None:
-        """Take the live keys by key id, and the one to issue with."""
+        """Set the live keys by key id, and the id of the issuing key."""
         self.contexts = {
             key_id: _make_contexts(key) for key_id, key in keys.items()
         }
@@ -75,33 +75,33 @@
         self.issuing_key_id = issuing_key_id
 
     def issue(self, owner: FlowOwner) -> bytes:
-        """Return a new connection id that names the owner."""
+        """Return a new connection id that encodes the owner."""
         block = _BLOCK.pack(
             pack_address(owner.agent),
             owner.service,
             secrets.token_bytes(_NONCE_LENGTH),
-            _CHECK,
+            _CHECK_PATTERN,
         )
         encryptor = self.contexts[self.issuing_key_id].encryptor
         return bytes((self.issuing_key_id,)) + encryptor.update(block)
 
     def read(self, connection_id: bytes) -> FlowOwner:
-        """Return who issued a connection id, or raise ForgedConnectionId."""
+        """Return the owner of a connection id, or raise ForgedConnectionId."""
         if len(connection_id) != CONNECTION_ID_LENGTH:
             raise ForgedConnectionId
         contexts = self.contexts.get(connection_id[0])
         if contexts is None:
             raise ForgedConnectionId
         block = contexts.decryptor.update(connection_id[1:])
-        if not block.endswith(_CHECK):
+        if not block.endswith(_CHECK_PATTERN):
             raise ForgedConnectionId
-        return _read_owner(block[:_OWNER_LENGTH])
+        return _unpack_owner(block[:_OWNER_LENGTH])
 
     def compute_reset_token(self, connection_id: bytes) -> bytes:
         """Return the stateless reset token (RFC 9000, section 10.3.2).
 
-        It is derived from the key, so that a restarted agent can end the
-        flows of its earlier incarnation.
+        It is derived from the key, so that a restarted agent can reset the
+        flows of its previous incarnation.
         """
         key = self.keys[connection_id[0]]
         return blake2b(
--- a/packages/keelgap/src/keelgap/routing/rendezvous.py
+++ b/packages/keelgap/src/keelgap/routing/rendezvous.py
@@ -1,7 +1,7 @@
 """Weighted rendezvous hashing (Thaler and Ravishankar, 1998).
 
-All processes with the same table rank the same upstreams in the same order
-for the same key, and a change of one row moves only that row's share.
+For a given key, all processes with the same table rank the upstreams in the
+same order, and a change of one row moves only the share of that row.
 """
 
 import math
@@ -31,14 +31,15 @@
     members: Iterable[tuple[Weighted, _MemberT]],
     count: int,
 ) -> list[_MemberT]:
-    """Return the first members for a key, best first.
+    """Return the highest-ranked members for a key, best first.
 
-    Members of weight 0 or less take no part.
+    Members with a weight of 0 or less are excluded.
     """
     digest = xxh3_64_intdigest
     log = math.log
-    # -ln(u) / weight is exponential with the weight as its rate; the smallest
-    # of such draws falls on each member in proportion to its weight.
+    # For uniform u, -ln(u) / weight is exponentially distributed with the
+    # weight as its rate, so that the probability of a member to have the
+    # smallest value is proportional to its weight.
     scored = [
         (
             -log((digest(key, weighted.seed) + 1) / _HASH_RANGE)
--- a/packages/keelgap/src/keelgap/sockets.py
+++ b/packages/keelgap/src/keelgap/sockets.py
@@ -1,4 +1,4 @@
-"""Datagram sockets and how a driver reads them in batches."""
+"""Datagram sockets, which the drivers read in batches."""
 
 import socket
 from collections.abc import Callable
@@ -10,21 +10,21 @@
 
 __all__ = ('bind_datagram', 'make_reader', 'send_datagram')
 
-#: Datagrams read before the loop gets to run something else.
-_BATCH: Final = 64
-_MAX_LENGTH: Final = 2048
-#: Octets of kernel buffer asked for; the kernel may grant less.
-_BUFFER: Final = 4 * 1024 * 1024
+#: Datagrams read before control returns to the event loop.
+_BATCH_SIZE: Final = 64
+_MAX_DATAGRAM_LENGTH: Final = 2048
+#: Requested size of the kernel buffers in octets; the kernel may grant less.
+_BUFFER_SIZE: Final = 4 * 1024 * 1024
 
 OnDatagram = Callable[[bytes, tuple[str, int]], None]
 
 
 def bind_datagram(name: str, address: Address) -> socket.socket:
-    """Return a bound UDP socket that does not block, or raise PortInUse."""
+    """Return a bound, non-blocking UDP socket, or raise PortInUse."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)  # noqa: WPS425
     for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):
-        sock.setsockopt(socket.SOL_SOCKET, option, _BUFFER)
+        sock.setsockopt(socket.SOL_SOCKET, option, _BUFFER_SIZE)
     try:
         sock.bind(address)
     except OSError as error:
@@ -37,14 +37,15 @@
     sock: socket.socket,
     on_datagram: OnDatagram,
 ) -> Callable[[], None]:
-    """Return a callback for a readable socket that takes one batch."""
+    """Return a callback that reads one batch from a readable socket."""
     receive = sock.recvfrom
 
     def read_batch() -> None:
-        # An empty socket and a refused earlier send both end the batch.
+        # An empty socket ends the batch, and so does the error of an earlier
+        # send that was refused.
         with suppress(OSError):
-            for _ in range(_BATCH):
-                datagram, sender = receive(_MAX_LENGTH)
+            for _ in range(_BATCH_SIZE):
+                datagram, sender = receive(_MAX_DATAGRAM_LENGTH)
                 on_datagram(datagram, sender)
 
     return read_batch
@@ -55,7 +56,7 @@
     datagram: bytes,
     receiver: tuple[str, int],
 ) -> bool:
-    """Send unless the kernel's buffer is full; False if it was."""
+    """Send a datagram; return False if the kernel did not accept it."""
     try:
         sock.sendto(datagram, receiver)
     except OSError:
--- a/packages/keelgap/src/keelgap/table/checks.py
+++ b/packages/keelgap/src/keelgap/table/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a table document; each fault names its row and column."""
+"""Validation of table documents; each fault names its row and column."""
 
 import sys
 from collections.abc import Callable, Iterable, Iterator
@@ -78,8 +78,8 @@
 ) -> Iterator[Fault]:
     """Yield every fault of a decoded table document.
 
-    Rows for which is_checked holds were found free of faults before; only
-    their relations to other rows are checked again.
+    Rows for which is_checked returns True were valid in a previous version;
+    only their relations to other rows are checked again.
     """
     if not isinstance(document, dict):
         yield Fault(
@@ -108,7 +108,7 @@
         _MALFORMED,
         'revision',
         'a whole number is required',
-        'raise it by one with each change of the table',
+        'increase it by one with each change of the table',
     )
 
 
@@ -166,20 +166,21 @@
     rows: list[dict[str, Any]],
     unique: _Unique,
 ) -> Iterator[Fault]:
-    # The common case first: it costs a tenth of the search for the row.
+    # The common case of no duplicates takes a tenth of the time of the search
+    # for the duplicate rows.
     if len(set(map(itemgetter(unique.column), rows))) == len(rows):
         return
     seen: set[object] = set()
     for index, row in enumerate(rows):
-        cell = row[unique.column]
-        if cell in seen:
+        value = row[unique.column]
+        if value in seen:
             yield Fault(
                 _DUPLICATE,
                 f'{unique.section}[{index}].{unique.column}',
-                f'{cell!r} stands in an earlier row',
-                'give each row its own',
+                f'{value!r} is used in an earlier row',
+                'use a different value in each row',
             )
-        seen.add(cell)
+        seen.add(value)
 
 
 def _check_references(
@@ -211,7 +212,7 @@
             yield Fault(
                 _BAD_ADDRESS,
                 f'upstreams[{index}].agent',
-                'the text is not an address',
+                'the value is not a valid address',
                 'write IPv4:port',
             )
 
@@ -231,5 +232,5 @@
             _NOTHING_ACTIVE,
             f'services[{name}]',
             'all its upstreams are draining or have weight 0',
-            'leave one active, or take the upstream rows out',
+            'keep one active, or remove the upstream rows',
         )
--- a/packages/keelgap/src/keelgap/table/loader.py
+++ b/packages/keelgap/src/keelgap/table/loader.py
@@ -1,4 +1,4 @@
-"""Turn a table document into a Table, or refuse it whole."""
+"""Conversion of table documents to Table objects."""
 
 from hashlib import blake2b
 from typing import Any, Final
@@ -24,19 +24,19 @@
     'load_table',
 )
 
-#: Longest value of the configuration service, in octets.
+#: Maximum length of a value in the configuration service, in octets.
 MAX_DOCUMENT: Final = 1024 * 1024
 _UPSTREAMS: Final = 'upstreams'
 _DIGEST_LENGTH: Final = 16
 
 
 def compute_digest(document: bytes) -> str:
-    """Return the digest that names a document."""
+    """Return the digest that identifies a document."""
     return blake2b(document, digest_size=_DIGEST_LENGTH).hexdigest()
 
 
 def load_table(document: bytes) -> Table:
-    """Return the table that one value of the service holds.
+    """Return the table held in one value of the configuration service.
 
     Raises TableRefused with every fault found.
     """
@@ -53,28 +53,32 @@
 
 
 def load_document_table(document: bytes) -> Table:
-    """Return the table of a document of any length, or refuse it."""
+    """Return the table of a document of any length.
+
+    Raises TableRefused with every fault found.
+    """
     return TableLoader().load(_decode(document), compute_digest(document))
 
 
 class TableLoader:
-    """Turn one version of the table after the other into Tables.
+    """Convert successive versions of the table document to Tables.
 
-    Rows that a delta left alone are the same objects as in the version before.
-    They are neither checked nor built again, so that a change costs little
-    more than the rows that it touches.
+    Rows that a delta did not change are the same objects as in the previous
+    version.  They are neither checked nor converted again, so that the cost of
+    a change depends mainly on the number of changed rows.
     """
 
     def __init__(self) -> None:
-        """Start without an earlier version."""
-        #: The last accepted document; keeps the ids of its rows in use.
+        """Start without a previous version."""
+        #: The last accepted document; the reference keeps the ids of its rows
+        #: from being reused.
         self.accepted: dict[str, Any] = {}
         self.checked: frozenset[int] = frozenset()
         self.built: dict[int, Upstream] = {}
         self.table: Table = EMPTY_TABLE
 
     def load(self, decoded: Any, digest: str) -> Table:
-        """Return the table of a decoded document, under its digest.
+        """Return the table of a decoded document with the given digest.
 
         Raises TableRefused with every fault found.
         """
@@ -92,17 +96,17 @@
             decoded['revision'],
             digest,
             {service.number: service for service in services},
-            self._group(decoded[_UPSTREAMS], services),
+            self._group_upstreams(decoded[_UPSTREAMS], services),
         )
-        self._keep(decoded, table)
+        self._remember(decoded, table)
         return table
 
-    def _group(
+    def _group_upstreams(
         self,
         rows: list[dict[str, Any]],
         services: list[Service],
     ) -> dict[int, tuple[Upstream, ...]]:
-        """Return rows by service, as the same tuples where nothing changed."""
+        """Return upstreams by service, reusing the unchanged tuples."""
         members: dict[str, list[Upstream]] = {
             service.name: [] for service in services
         }
@@ -110,14 +114,14 @@
             members[row['service']].append(self.built[id(row)])
         before = self.table.upstreams
         return {
-            service.number: _reuse(
+            service.number: _reuse_if_equal(
                 before.get(service.number, ()),
                 tuple(members[service.name]),
             )
             for service in services
         }
 
-    def _keep(self, decoded: dict[str, Any], table: Table) -> None:
+    def _remember(self, decoded: dict[str, Any], table: Table) -> None:
         sections = ('services', 'classes', _UPSTREAMS)
         self.accepted = decoded
         self.table = table
@@ -128,11 +132,12 @@
         )
 
 
-def _reuse(
+def _reuse_if_equal(
     before: tuple[Upstream, ...],
     after: tuple[Upstream, ...],
 ) -> tuple[Upstream, ...]:
-    # Equal tuples are interchangeable; the old one tells that nothing moved.
+    # Returning the previous object lets users detect by identity that nothing
+    # changed.
     if before == after:
         return before
     return after
--- a/packages/keelgap/src/keelgap/table/models.py
+++ b/packages/keelgap/src/keelgap/table/models.py
@@ -1,7 +1,7 @@
 """The operators' table: services, traffic classes and upstreams.
 
-The ``*Row`` types are the columns of the document; docs/ref/table.md describes
-each.  ``Table`` and its parts are what a process works with.
+The ``*Row`` types define the columns of the document, which docs/ref/table.md
+describes.  ``Table`` and its members are the form that processes work with.
 """
 
 from typing import Final, Literal, NamedTuple, NotRequired, TypedDict
@@ -61,18 +61,18 @@
 
 
 class TrafficClass(NamedTuple):
-    """How requests of one kind are admitted; the first match counts."""
+    """Admission rules for a class of requests; the first match applies."""
 
     name: str
     #: HTTP method, or an empty string for every method.
     method: str = ''
     path_prefix: str = '/'
-    #: 0 goes first under overload.
+    #: Under overload, requests of priority 0 go first.
     priority: int = 1
     at_most_once: bool = False
-    #: Seconds from arrival until the caller no longer waits.
+    #: Seconds after arrival at which the caller stops waiting.
     deadline_seconds: float = 30.0
-    #: False for long streams, which only the connection limit bounds.
+    #: False for long streams, which are only limited by ``connections``.
     takes_slot: bool = True
 
 
@@ -84,48 +84,49 @@
     """A service that callers reach on one port of every balancer."""
 
     name: str
-    #: Stands for the service on the wire and in connection ids.
+    #: Identifies the service on the wire and in connection ids.
     number: int
     #: UDP port on which balancers listen for callers.
     port: int
-    #: Requests that may wait for a slot on each upstream.
+    #: Maximum number of requests that wait for a slot of each upstream.
     queue_limit: int = 16
-    #: Whether an upstream's own 503 means that it did not run the request.
+    #: Whether a 503 from the upstream means that it did not run the request.
     unavailable_means_not_run: bool = False
     classes: tuple[TrafficClass, ...] = ()
 
 
 class Upstream(NamedTuple):
-    """One upstream instance, reached through the agent beside it."""
+    """An upstream instance, reached through the agent beside it."""
 
     name: str
     service: str
     agent: Address
     weight: float = 1.0
-    #: Requests that the upstream runs at once.
+    #: Maximum number of requests that the upstream runs concurrently.
     slots: int = 4
-    #: Flows that the upstream keeps open at once.
+    #: Maximum number of flows that the upstream keeps open.
     connections: int = 2000
     state: UpstreamState = 'active'
-    #: Seconds over which a started upstream comes up to its full slots.
+    #: Seconds over which a started upstream ramps up to all its slots.
     cold_start_seconds: float = 0
 
 
 class Table(NamedTuple):
-    """A valid table; a later revision replaces it whole."""
+    """A valid table; a later revision replaces it as a whole."""
 
     revision: int
-    #: BLAKE2b of the document in hexadecimal; orders equal revisions.
+    #: BLAKE2b digest of the document in hexadecimal; orders tables of equal
+    #: revision.
     digest: str
     services: dict[int, Service]
-    #: Rows of each service, by its number.
+    #: Upstreams of each service, by service number.
     upstreams: dict[int, tuple[Upstream, ...]]
 
     @property
     def version(self) -> tuple[int, str]:
-        """Return what orders tables: the revision, then the digest."""
+        """Return the sort key of tables: the revision, then the digest."""
         return (self.revision, self.digest)
 
 
-#: What a process has before it heard of any table.
+#: The table of a process that has not received one yet.
 EMPTY_TABLE: Final = Table(0, '', {}, {})
--- a/packages/keelgap/src/keelgap/table/parts.py
+++ b/packages/keelgap/src/keelgap/table/parts.py
@@ -1,8 +1,8 @@
-"""A table in several values, for services that bound the length of one.
+"""Tables split over several values, for services that limit value length.
 
-The manifest under the table's key names the parts and their digests; rows are
-spread over the parts.  Parts are written first, each under a key of its own
-for each revision, so that a manifest always finds what it names.
+The manifest under the table's key lists the parts and their digests; the parts
+hold the rows.  Parts are written before the manifest, under keys that are
+unique to the revision, so that all parts of a manifest are always available.
 """
 
 from typing import Any, Final, NamedTuple, NotRequired, TypedDict
@@ -21,19 +21,20 @@
     'split_table',
 )
 
-#: Longest part that split_table makes; values may have up to 1 MiB.
+#: Maximum length in octets of the parts made by split_table; a value may have
+#: up to 1 MiB.
 PART_OCTETS: Final = 900000
 _SECTIONS: Final = ('services', 'classes', 'upstreams')
 
 
 class PartMismatch(KeelgapError):
-    """A part is not the one that the manifest names."""
+    """A part is not valid JSON, or does not match the manifest's digest."""
 
     code = 'part_mismatch'
 
 
 class Part(TypedDict):
-    """Where a part is kept, and the digest of its octets."""
+    """The key of a part and the digest of its content."""
 
     key: str
     digest: str
@@ -45,14 +46,14 @@
 
 
 class SplitTable(NamedTuple):
-    """A manifest, and the values of its parts by key."""
+    """A manifest and the content of its parts, by key."""
 
     manifest: bytes
     parts: dict[str, bytes]
 
 
 def list_parts(content: bytes) -> list[Part]:
-    """Return the parts that a document names; none if it is whole."""
+    """Return the parts listed in a manifest; none if it is a whole table."""
     if b'"parts"' not in content:
         return []
     try:
@@ -63,7 +64,7 @@
 
 
 def join_parts(manifest: bytes, values: dict[str, bytes]) -> bytes:
-    """Return the whole document; raises PartMismatch if a part is wrong."""
+    """Return the whole document; raise PartMismatch if a part is invalid."""
     decoded = msgspec.json.decode(manifest, type=_Manifest)
     whole: dict[str, Any] = {'revision': decoded['revision']}
     for part in list_parts(manifest):
@@ -80,7 +81,7 @@
 
 
 def split_table(document: bytes, prefix: str) -> SplitTable:
-    """Split a table into parts that fit, under keys that start so."""
+    """Split a table into parts, with keys that start with the prefix."""
     decoded = msgspec.json.decode(document, type=dict[str, Any])
     revision = decoded['revision']
     values = [msgspec.json.encode(rows) for rows in _group_rows(decoded)]
@@ -99,7 +100,7 @@
 
 
 def _group_rows(decoded: dict[str, Any]) -> list[dict[str, list[Any]]]:
-    """Return rows in groups of bounded length, in their order."""
+    """Return the rows in groups of limited length, in their order."""
     groups: list[dict[str, list[Any]]] = [{}]
     octets = 0
     for section in _SECTIONS:
--- a/packages/keelgap/src/keelgap/wire/__init__.py
+++ b/packages/keelgap/src/keelgap/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Formats of what processes send one another and read from callers."""
+"""Wire formats between processes, and parsing of callers' packets."""
--- a/packages/keelgap/src/keelgap/wire/encapsulation.py
+++ b/packages/keelgap/src/keelgap/wire/encapsulation.py
@@ -1,11 +1,11 @@
 """Encapsulation of callers' datagrams between balancers and agents.
 
-Wire format, network byte order, version 1.0, documented for operators in
+Wire format version 1.0, in network byte order, is documented for operators in
 docs/ref/wire.md.  A header of constant size is followed by the payload and a
-message code over both: AES-GMAC (NIST SP 800-38D) under a key derived by
-BLAKE2b (RFC 7693) from the fleet's key for one incarnation of the sender and
-one receiver, so that the sequence number alone is a unique nonce.  The code is
-checked before any other field is acted upon.
+message authentication code over both: AES-GMAC (NIST SP 800-38D).  Its key is
+derived by BLAKE2b (RFC 7693) from the fleet's key for each incarnation of the
+sender and each receiver, so that the sequence number alone is a unique nonce.
+The code is verified before any other field is acted upon.
 """
 
 import struct
@@ -49,68 +49,69 @@
 
 VERSION_MAJOR: Final = 1
 VERSION_MINOR: Final = 0
-#: Ranked candidates that an Initial carries.
+#: Maximum number of ranked candidates that an Initial carries.
 MAX_CANDIDATES: Final = 3
-#: Longest encapsulated datagram in octets; fits any Ethernet path.
+#: Maximum length of an encapsulated datagram in octets; fits any Ethernet
+#: path.
 MAX_DATAGRAM: Final = 1472
 _MAC_LENGTH: Final = 16
 _HEADER = struct.Struct('!BBBBQQQHBB6s6s18s')
 #: Octets that encapsulation adds to a caller's datagram.
 OVERHEAD: Final = _HEADER.size + _MAC_LENGTH
 _PAIR_KEY_LENGTH: Final = 16
-_SEQUENCE_AT: Final = 12
-_REVISION_AT: Final = 20
+_SEQUENCE_OFFSET: Final = 12
+_REVISION_OFFSET: Final = 20
 _NONCE_PREFIX: Final = bytes(4)
 _INCARNATION = struct.Struct('!Q')
 _NO_CANDIDATES: Final = bytes(MAX_CANDIDATES * PACKED_LENGTH)
 
 
 class MessageKind(IntEnum):
-    """What a datagram between two processes asks for."""
+    """The kind of a message between two processes."""
 
     #: Balancer to agent: a caller's datagram.
     FORWARD = 1
     #: Agent to balancer: a datagram for a caller.
     RETURN = 2
-    #: Agent to agent: a new flow that the first candidate passes on.
+    #: Agent to agent: a new flow that the first candidate forwards.
     HANDOVER = 3
-    #: Balancer to balancer: deliver to the first candidate in my stead.
+    #: Balancer to balancer: deliver to the first candidate for the sender.
     DETOUR = 4
-    #: Are you there?
+    #: Asks whether the receiver is reachable.
     PROBE = 5
-    #: I am here, or: your Initial arrived.
+    #: Answers a probe, or acknowledges an Initial.
     PROBE_REPLY = 6
-    #: Balancer to agent: do not return datagrams through me any more.
+    #: Balancer to agent: stop returning datagrams through the sender.
     LEAVING = 7
 
 
 class Envelope(NamedTuple):
-    """One message between processes."""
+    """A message between two processes."""
 
     kind: MessageKind
-    #: Number of the service, 0 if the message concerns none.
+    #: Service number, or 0 if the message does not concern a service.
     service: int
     #: Table revision in force at the sender.
     revision: int
     caller: Address = UNSPECIFIED
-    #: Balancer through which answers return; used when passed on.
+    #: Balancer through which answers return; used when a flow is forwarded.
     via: Address = UNSPECIFIED
-    #: Ranked agents for a new flow; empty on packets of known flows.
+    #: Ranked agents for a new flow; empty for packets of known flows.
     candidates: tuple[Address, ...] = ()
-    #: Index in candidates of the agent that is asked now.
+    #: Index in candidates of the agent that is asked.
     turn: int = 0
     payload: bytes = b''
 
 
 class Received(NamedTuple):
-    """An authentic envelope and who sent it."""
+    """An authenticated envelope and its sender."""
 
     sender: Address
     envelope: Envelope
 
 
 class _Sealer:
-    """The code of one incarnation of this process for one receiver."""
+    """The cipher and sequence number for messages to one receiver."""
 
     __slots__ = ('cipher', 'sequence')
 
@@ -120,9 +121,9 @@
 
 
 class _Opener:
-    """The code of one incarnation of one sender."""
+    """The cipher and replay window for messages of one sender."""
 
-    __slots__ = ('cipher', 'code', 'window')
+    __slots__ = ('cipher', 'key_parameters', 'window')
 
     def __init__(
         self,
@@ -132,8 +133,8 @@
         window: ReplayWindow,
     ) -> None:
         self.cipher = cipher
-        #: Key id and incarnation for which the cipher was derived.
-        self.code = (key_id, incarnation)
+        #: Key id and incarnation from which the key was derived.
+        self.key_parameters = (key_id, incarnation)
         self.window = window
 
 
@@ -141,9 +142,10 @@
 
 
 class EnvelopeCodec:
-    """Seal and open envelopes; holds keys, sequences and replay windows.
+    """Authenticate and verify envelopes.
 
-    Its state grows with the processes that it talks to, never with flows.
+    The state (ciphers, sequence numbers and replay windows) grows with the
+    number of peers, not with the number of flows.
     """
 
     def __init__(
@@ -153,10 +155,10 @@
         incarnation: int,
         address: tuple[str, int],
     ) -> None:
-        """Take the live keys by key id, the one to sign with, and who we are.
+        """Set the live keys by key id, the signing key and the own identity.
 
         The incarnation is the start time of the process in milliseconds;
-        it must rise at each start on the same address.
+        it must increase with each start on the same address.
         """
         self.keys = keys
         self.signing_key_id = signing_key_id
@@ -166,7 +168,7 @@
         self.openers: dict[tuple[str, int], _Opener] = {}
 
     def seal(self, envelope: Envelope, receiver: tuple[str, int]) -> bytes:
-        """Return the datagram that carries an envelope to its receiver."""
+        """Return the authenticated datagram of an envelope for a receiver."""
         sealer = self.sealers.get(receiver)
         if sealer is None:
             sealer = self._make_sealer(receiver)
@@ -188,20 +190,20 @@
             _pack_candidates(candidates) if candidates else _NO_CANDIDATES,
         )
         body = header + envelope.payload
-        nonce = _NONCE_PREFIX + header[_SEQUENCE_AT:_REVISION_AT]
+        nonce = _NONCE_PREFIX + header[_SEQUENCE_OFFSET:_REVISION_OFFSET]
         return body + sealer.cipher.encrypt(nonce, b'', body)
 
     def open(self, datagram: bytes, sender: tuple[str, int]) -> Envelope:
-        """Return the envelope of an authentic datagram.
+        """Verify a datagram and return its envelope.
 
-        Raises a WireError that names why the datagram must be dropped.
+        Raises a WireError with the reason if it must be dropped.
         """
         _check_size_and_version(datagram)
         body = datagram[:-_MAC_LENGTH]
         _major, _minor, *fields = _HEADER.unpack_from(body)
         key_id, kind_number, incarnation, sequence, *fields = fields
         opener = self.openers.get(sender)
-        if opener is None or opener.code != (key_id, incarnation):
+        if opener is None or opener.key_parameters != (key_id, incarnation):
             opener = self._make_opener(sender, key_id, incarnation)
         self._verify(opener, datagram, body)
         self._check_replay(sender, opener, sequence)
@@ -216,7 +218,7 @@
         datagram: bytes,
         body: bytes,
     ) -> None:
-        nonce = _NONCE_PREFIX + body[_SEQUENCE_AT:_REVISION_AT]
+        nonce = _NONCE_PREFIX + body[_SEQUENCE_OFFSET:_REVISION_OFFSET]
         try:
             opener.cipher.decrypt(nonce, datagram[-_MAC_LENGTH:], body)
         except InvalidTag:
@@ -228,9 +230,9 @@
         opener: _Opener,
         sequence: int,
     ) -> None:
-        if not opener.window.accept(opener.code[1], sequence):
+        if not opener.window.accept(opener.key_parameters[1], sequence):
             raise ReplayedDatagram
-        # Only an authentic datagram may change what is kept of a sender.
+        # Only an authenticated datagram may change the state of a sender.
         self.openers[sender] = opener
 
     def _make_sealer(self, receiver: tuple[str, int]) -> _Sealer:
@@ -251,8 +253,8 @@
         incarnation: int,
     ) -> _Opener:
         cipher = self._derive(key_id, sender, self.address, incarnation)
-        known = self.openers.get(sender)
-        window = known.window if known else ReplayWindow(incarnation)
+        previous = self.openers.get(sender)
+        window = previous.window if previous else ReplayWindow(incarnation)
         return _Opener(cipher, key_id, incarnation, window)
 
     def _derive(
@@ -265,14 +267,14 @@
         key = self.keys.get(key_id)
         if key is None:
             raise UnknownKey
-        pair = (
+        context = (
             pack_address(sender),
             pack_address(receiver),
             _INCARNATION.pack(incarnation),
         )
         return AESGCM(
             blake2b(
-                b''.join(pair),
+                b''.join(context),
                 key=key,
                 person=b'envelope',
                 digest_size=_PAIR_KEY_LENGTH,
@@ -295,14 +297,14 @@
     payload: bytes,
 ) -> Envelope:
     revision, service, count, turn, *fields = fields
-    caller, via, slots = fields
+    caller, via, packed_candidates = fields
     return Envelope(
         kind,
         service,
         revision,
         unpack_address(caller),
         unpack_address(via),
-        _unpack_candidates(slots, count) if count else (),
+        _unpack_candidates(packed_candidates, count) if count else (),
         turn,
         payload,
     )
@@ -313,9 +315,9 @@
     return packed.ljust(MAX_CANDIDATES * PACKED_LENGTH, b'\0')
 
 
-def _unpack_candidates(slots: bytes, count: int) -> tuple[Address, ...]:
+def _unpack_candidates(packed: bytes, count: int) -> tuple[Address, ...]:
     return tuple(
-        unpack_address(slots[start : start + PACKED_LENGTH])
+        unpack_address(packed[start : start + PACKED_LENGTH])
         for start in range(
             0,
             min(count, MAX_CANDIDATES) * PACKED_LENGTH,
--- a/packages/keelgap/src/keelgap/wire/exceptions.py
+++ b/packages/keelgap/src/keelgap/wire/exceptions.py
@@ -1,4 +1,4 @@
-"""Reasons for which a datagram is dropped; each one is a counter label."""
+"""Errors for which a datagram is dropped; their codes label a counter."""
 
 from keelgap.exceptions import KeelgapError
 
@@ -20,7 +20,7 @@
 
 
 class WireError(KeelgapError):
-    """Input from the network that is dropped and counted."""
+    """Base class of errors in network input, which is dropped and counted."""
 
     code = 'wire'
 
@@ -38,13 +38,13 @@
 
 
 class UnknownVersion(WireError):
-    """The sender speaks a newer major version."""
+    """The major version of the datagram is not supported."""
 
     code = 'unknown_version'
 
 
 class UnknownKey(WireError):
-    """The datagram names a key id that is not live here."""
+    """The key id of the datagram is not live in this process."""
 
     code = 'unknown_key'
 
@@ -62,7 +62,7 @@
 
 
 class ReplayedDatagram(WireError):
-    """The datagram was received before, or is too old to tell."""
+    """The datagram is a replay, or too old for the replay window."""
 
     code = 'replayed'
 
@@ -74,19 +74,19 @@
 
 
 class ForgedConnectionId(WireError):
-    """The connection id was not made by an agent of this fleet."""
+    """The connection id was not issued by an agent of this fleet."""
 
     code = 'forged_connection_id'
 
 
 class ForeignService(WireError):
-    """The connection id belongs to another service than the port."""
+    """The connection id and the port belong to different services."""
 
     code = 'foreign_service'
 
 
 class UnknownOwner(WireError):
-    """The connection id names an address that was never published."""
+    """The agent address in the connection id was never published."""
 
     code = 'unknown_owner'
 
--- a/packages/keelgap/src/keelgap/wire/packets.py
+++ b/packages/keelgap/src/keelgap/wire/packets.py
@@ -6,25 +6,25 @@
 
 __all__ = ('CONNECTION_ID_LENGTH', 'PacketHeader', 'parse_header')
 
-#: Octets of the connection ids that agents issue.
+#: Length in octets of the connection ids that agents issue.
 CONNECTION_ID_LENGTH: Final = 17
 _LONG_FORM: Final = 0x80
 _FIXED_BIT: Final = 0x40
 _TYPE_BITS: Final = 0x30
-_LENGTH_AT: Final = 5
-_ID_AT: Final = 6
+_ID_LENGTH_OFFSET: Final = 5
+_ID_OFFSET: Final = 6
 _MAX_ID_LENGTH: Final = 20
 _MIN_INITIAL_LENGTH: Final = 1200
-_FIRST_VERSION: Final = b'\x00\x00\x00\x01'
-_VERSION_AT: Final = 1
+_QUIC_V1: Final = b'\x00\x00\x00\x01'
+_VERSION_OFFSET: Final = 1
 _SHORT_HEADER_END: Final = 1 + CONNECTION_ID_LENGTH
 #: Type bits of an Initial packet in QUIC version 2 (RFC 9369, 3.2).
-_INITIAL_BITS_OF_SECOND: Final = 0x10
-_SECOND_VERSION: Final = b'\x6b\x33\x43\xcf'
+_INITIAL_TYPE_BITS_V2: Final = 0x10
+_QUIC_V2: Final = b'\x6b\x33\x43\xcf'
 
 
 class PacketHeader(NamedTuple):
-    """What a balancer reads of a caller's datagram."""
+    """The header fields of a caller's datagram that a balancer uses."""
 
     destination_id: bytes
     #: Whether this datagram may open a flow.
@@ -32,10 +32,11 @@
 
 
 def parse_header(datagram: bytes) -> PacketHeader:
-    """Read the destination connection id, or raise MalformedPacket.
+    """Parse a packet header, or raise MalformedPacket.
 
-    A datagram that may open a flow is a padded Initial, or any padded long
-    header of an unknown version, which an agent answers by negotiation.
+    A datagram may open a flow if it is a padded Initial, or a padded long
+    header of an unknown version, to which an agent replies with a version
+    negotiation.
     """
     if len(datagram) < _SHORT_HEADER_END:
         raise MalformedPacket
@@ -44,11 +45,11 @@
         if not first & _FIXED_BIT:
             raise MalformedPacket
         return PacketHeader(datagram[1:_SHORT_HEADER_END], may_open_flow=False)
-    id_length = datagram[_LENGTH_AT]
+    id_length = datagram[_ID_LENGTH_OFFSET]
     if id_length > _MAX_ID_LENGTH:
         raise MalformedPacket
     return PacketHeader(
-        datagram[_ID_AT : _ID_AT + id_length],
+        datagram[_ID_OFFSET : _ID_OFFSET + id_length],
         _may_open_flow(datagram, first),
     )
 
@@ -56,10 +57,10 @@
 def _may_open_flow(datagram: bytes, first: int) -> bool:
     if len(datagram) < _MIN_INITIAL_LENGTH:
         return False
-    version = datagram[_VERSION_AT:_LENGTH_AT]
+    version = datagram[_VERSION_OFFSET:_ID_LENGTH_OFFSET]
     type_bits = first & _TYPE_BITS
-    if version == _FIRST_VERSION:
+    if version == _QUIC_V1:
         return type_bits == 0
-    if version == _SECOND_VERSION:
-        return type_bits == _INITIAL_BITS_OF_SECOND
+    if version == _QUIC_V2:
+        return type_bits == _INITIAL_TYPE_BITS_V2
     return any(version)
--- a/packages/keelgap/src/keelgap/wire/replay.py
+++ b/packages/keelgap/src/keelgap/wire/replay.py
@@ -1,29 +1,29 @@
-"""Sliding window against replayed datagrams (RFC 4303, section 3.4.3)."""
+"""Sliding window that detects replayed datagrams (RFC 4303, 3.4.3)."""
 
 from typing import Final
 
 __all__ = ('REPLAY_WINDOW', 'ReplayWindow')
 
-#: How many sequence numbers behind the highest one are remembered.
+#: Number of sequence numbers that the window covers.
 REPLAY_WINDOW: Final = 4096
 _MASK: Final = (1 << REPLAY_WINDOW) - 1
 
 
 class ReplayWindow:
-    """Remember which sequence numbers one sender has used lately."""
+    """The recent sequence numbers of one sender."""
 
     __slots__ = ('highest', 'incarnation', 'seen')
 
     def __init__(self, incarnation: int) -> None:
-        """Start empty for one incarnation of the sender."""
+        """Start with an empty window for one incarnation of the sender."""
         self.incarnation = incarnation
         self.highest = 0
         self.seen = 0
 
     def accept(self, incarnation: int, sequence: int) -> bool:
-        """Record a sequence number; False if it may be a replay.
+        """Record a sequence number; return False if it may be a replay.
 
-        A later incarnation empties the window, an earlier one is refused.
+        A later incarnation clears the window; an earlier one is rejected.
         """
         if incarnation != self.incarnation:
             if incarnation < self.incarnation:
