--- a/packages/keelgap/src/keelgap/control/messages.py
+++ b/packages/keelgap/src/keelgap/control/messages.py
@@ -128,16 +128,16 @@
 
 def encode_message(sender: Address, message: ControlMessage) -> list[bytes]:
     """Encode a message as frames."""
-    head = _HEADER.pack(VERSION_MAJOR, VERSION_MINOR, pack_address(sender))
-    return [head, _encoder.encode(message)]
+    header = _HEADER.pack(VERSION_MAJOR, VERSION_MINOR, pack_address(sender))
+    return [header, _encoder.encode(message)]
 
 
 def decode_message(frames: list[bytes]) -> Delivery:
     """Decode the frames of a message; raise a WireError if they are invalid."""
     if len(frames) != 2 or len(frames[0]) < _HEADER.size:
         raise MalformedMessage
-    head, body = frames
-    major, _minor, sender = _HEADER.unpack_from(head)
+    header, body = frames
+    major, _minor, sender = _HEADER.unpack_from(header)
     if major != VERSION_MAJOR:
         raise NewerMajorVersion
     if len(body) > _MAX_BODY_LENGTH:
--- a/packages/keelgap/src/keelgap/dissemination/reducer.py
+++ b/packages/keelgap/src/keelgap/dissemination/reducer.py
@@ -187,14 +187,14 @@
     latest one, as in the revision gate of "The write succeeded, then the old
     value came back".
     """
-    name = state.identity.names.table
-    held = state.held[name]
+    table_key = state.identity.names.table
+    held = state.held[table_key]
     if event.revision <= held.document.version.revision:
         return ()
     control = state.control_by_data.get(event.sender)
     if control is None:
         return ()
-    fetch = _fetch(state, name, control, event.now)
+    fetch = _fetch(state, table_key, control, event.now)
     return (*fetch, Count('revisions_seen_ahead')) if fetch else ()
 
 
@@ -243,8 +243,8 @@
 
 def _complete_joining(state: DisseminationState, now: float) -> Effects:
     """Complete joining once the highest announced versions are held."""
-    name = state.identity.names.table
-    if state.joined or not state.held[name].document.content:
+    table_key = state.identity.names.table
+    if state.joined or not state.held[table_key].document.content:
         return ()
     is_timed_out = now - state.started >= defaults.JOIN_SECONDS
     has_heard_peers = state.heard_peer_at is not None or not state.neighbours
--- a/packages/keelgap/src/keelgap/wire/encapsulation.py
+++ b/packages/keelgap/src/keelgap/wire/encapsulation.py
@@ -236,7 +236,7 @@
         self.openers[sender] = opener
 
     def _make_sealer(self, receiver: tuple[str, int]) -> _Sealer:
-        cipher = self._derive(
+        cipher = self._derive_cipher(
             self.signing_key_id,
             self.address,
             receiver,
@@ -252,12 +252,12 @@
         key_id: int,
         incarnation: int,
     ) -> _Opener:
-        cipher = self._derive(key_id, sender, self.address, incarnation)
+        cipher = self._derive_cipher(key_id, sender, self.address, incarnation)
         previous = self.openers.get(sender)
         window = previous.window if previous else ReplayWindow(incarnation)
         return _Opener(cipher, key_id, incarnation, window)
 
-    def _derive(
+    def _derive_cipher(
         self,
         key_id: int,
         sender: tuple[str, int],
