--- a/deploy/balancer.py
+++ b/deploy/balancer.py
@@ -1,9 +1,10 @@
-"""Start a packet balancer, with as few imports as there can be."""
+"""Start a packet balancer, importing as little as possible."""
 
 import signal
 import sys
 
-# Signals may come before the imports are done, and would end us with an error.
+# A signal may arrive while the imports run; the default action would end the
+# process with an error.
 signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(0))
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/__init__.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/__init__.py
@@ -1,1 +1,1 @@
-"""The keelgap balancer: routes callers' datagrams to agents."""
+"""The keelgap balancer: routes datagrams of callers to agents."""
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/check.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/check.py
@@ -1,4 +1,4 @@
-"""Check a settings file or a table; print every fault at once."""
+"""Validation of a settings file or a table, reporting all faults at once."""
 
 import sys
 from pathlib import Path
@@ -17,32 +17,32 @@
 
 
 class Check:
-    """Check a file before it is used; exit 1 if it has faults."""
+    """Check a file before it is used; exit with status 1 on faults."""
 
     @SetParseFn(str)
     def settings(self, path: str) -> None:
-        """Check the settings file of a balancer, and its key files."""
+        """Check the settings file of a balancer and its key files."""
         try:
             load_keys(load_settings(path, BalancerSettings).keys)
         except ImproperlyConfigured as error:
-            _fail(str(error))
+            _exit_with_error(str(error))
         print(f'{path}: no faults')  # noqa: WPS421
 
     @SetParseFn(str)
     def table(self, path: str) -> None:
-        """Check a table document as every process will."""
+        """Check a table document with the rules that all processes apply."""
         try:
             content = Path(path).read_bytes()
             load_table(content)
             version = load_document(content).version
         except (OSError, TableRefused, UnusableDocument) as error:
-            _fail(str(error))
+            _exit_with_error(str(error))
         print(  # noqa: WPS421
             f'{path}: no faults; revision {version.revision}, '
             f'digest {version.digest}',
         )
 
 
-def _fail(problem: str) -> None:
+def _exit_with_error(problem: str) -> None:
     print(problem, file=sys.stderr)  # noqa: WPS421
     sys.exit(EXIT_FAULTS)
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/example.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/example.py
@@ -1,4 +1,4 @@
-"""Print commented examples that work, and make keys for a fleet."""
+"""Commented example files that work, and new keys for a fleet."""
 
 import secrets
 from importlib.resources import files
@@ -13,36 +13,36 @@
 __all__ = ('Example', 'make_keys')
 
 _MAC_KEY_LENGTH: Final = 32
-_PRIVATE: Final = 0o600
+_PRIVATE_FILE_MODE: Final = 0o600
 
 
 class Example:
-    """Print a commented file to start from."""
+    """Print a commented example file."""
 
     def settings(self) -> str:
-        """Print the settings of a balancer."""
-        return _read('balancer.ini')
+        """Print an example of balancer settings."""
+        return _read_example('balancer.ini')
 
     def agent_settings(self) -> str:
-        """Print the settings of an agent."""
-        return _read('agent.ini')
+        """Print an example of agent settings."""
+        return _read_example('agent.ini')
 
     def table(self) -> str:
-        """Print a table with two services."""
-        return _read('table.json')
+        """Print an example of a table with two services."""
+        return _read_example('table.json')
 
     @SetParseFn(str)
     def keys(self, directory: str) -> None:
-        """Write fresh keys for a fleet into a directory."""
+        """Generate the keys of a fleet in a directory."""
         make_keys(Path(directory))
 
 
-def _read(name: str) -> str:
+def _read_example(name: str) -> str:
     return files('keelgap_balancer').joinpath('examples', name).read_text()
 
 
 def make_keys(directory: Path) -> None:
-    """Write the keys that all processes of a fleet share."""
+    """Generate the keys that all processes of a fleet share."""
     public, secret = zmq.curve_keypair()
     texts = {
         'connection-ids-first.key': secrets.token_hex(KEY_LENGTH),
@@ -53,5 +53,5 @@
     directory.mkdir(parents=True, exist_ok=True)
     for name, text in texts.items():
         path = directory / name
-        path.touch(mode=_PRIVATE)
+        path.touch(mode=_PRIVATE_FILE_MODE)
         path.write_text(f'{text}\n', 'utf-8')
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/run.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/run.py
@@ -1,4 +1,4 @@
-"""Run a balancer with the settings of an INI file."""
+"""Run a balancer with settings from an INI file."""
 
 from keelgap.conf import load_settings
 from keelgap.exceptions import KeelgapError
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/show.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/show.py
@@ -1,4 +1,4 @@
-"""Show what is in force in one process."""
+"""Read-only views of one running process."""
 
 import asyncio
 import sys
@@ -16,31 +16,31 @@
 
 
 class Show:
-    """Show what a process at ADMIN_ADDRESS (IPv4:port) works with."""
+    """Show the state of the process at ADMIN_ADDRESS (IPv4:port)."""
 
     @SetParseFns(address=str)
     def table(self, address: str, *, json: bool = False) -> None:
-        """Show the table in force: revision, digest, age, last refusal."""
-        report = _read(address, '/table')
+        """Show the table in force: revision, digest, age and last refusal."""
+        report = _read_or_exit(address, '/table')
         if json:
             _print_json(report)
             return
         for key in ('table', 'instances'):
-            _print_document(key, report[key])
+            _print_document_status(key, report[key])
         _print_rows(report['content'].get('upstreams', []))
 
     @SetParseFns(address=str)
     def flows(self, address: str, *, json: bool = False) -> None:
         """Show the open flows of an agent."""
-        _show_rows(_read(address, '/flows'), as_json=json)
+        _show_rows(_read_or_exit(address, '/flows'), as_json=json)
 
     @SetParseFns(address=str)
     def upstreams(self, address: str, *, json: bool = False) -> None:
-        """Show the upstreams as a balancer sees them."""
-        _show_rows(_read(address, '/upstreams'), as_json=json)
+        """Show the upstreams in the view of a balancer."""
+        _show_rows(_read_or_exit(address, '/upstreams'), as_json=json)
 
 
-def _read(address: str, path: str) -> Any:
+def _read_or_exit(address: str, path: str) -> Any:
     try:
         return asyncio.run(read_page(address, path))
     except Unreachable as error:
@@ -57,7 +57,7 @@
     _print(msgspec.json.format(encoded, indent=_INDENT).decode())
 
 
-def _print_document(key: str, report: dict[str, Any]) -> None:
+def _print_document_status(key: str, report: dict[str, Any]) -> None:
     age = report['in_force_seconds']
     since = 'nothing in force' if age is None else f'for {age:.1f} s'
     _print(f'{key}: revision {report["revision"]} {report["digest"]} {since}')
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/split.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/split.py
@@ -1,4 +1,4 @@
-"""Split a long table into parts that fit the configuration service."""
+"""Split a table that exceeds the configuration service's size limit."""
 
 import sys
 from pathlib import Path
@@ -20,10 +20,10 @@
     except (OSError, TableRefused) as error:
         print(error, file=sys.stderr)  # noqa: WPS421
         return EXIT_FAULTS
-    divided = split_table(content, prefix)
+    split_result = split_table(content, prefix)
     target.mkdir(parents=True, exist_ok=True)
-    for key, part in divided.parts.items():
+    for key, part in split_result.parts.items():
         (target / key).write_bytes(part)
-    (target / 'manifest.json').write_bytes(divided.manifest)
-    print(f'{len(divided.parts)} parts in {directory}')  # noqa: WPS421
+    (target / 'manifest.json').write_bytes(split_result.manifest)
+    print(f'{len(split_result.parts)} parts in {directory}')  # noqa: WPS421
     return 0
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/status.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/status.py
@@ -1,4 +1,4 @@
-"""Compare the revision in force in several processes."""
+"""Comparison of the table revisions in force in several processes."""
 
 import asyncio
 from typing import Final, TypedDict
@@ -10,7 +10,7 @@
 
 __all__ = ('status',)
 
-_NAME: Final = 'name'
+_NAME_KEY: Final = 'name'
 
 
 class _Line(TypedDict):
@@ -22,9 +22,9 @@
 
 
 def status(addresses: tuple[str, ...], *, as_json: bool) -> int:
-    """Print a line for each process; exit 0 if all have the same table."""
+    """Print a line per process; return 0 if all have the same table."""
     readings = asyncio.run(read_all(addresses, '/status'))
-    lines = _compare(readings)
+    lines = _compare_versions(readings)
     if as_json:
         print(msgspec.json.encode(lines).decode())  # noqa: WPS421
     else:
@@ -34,12 +34,12 @@
     return EXIT_FAULTS if states - {'current'} else 0
 
 
-def _compare(readings: list[Reading]) -> list[_Line]:
+def _compare_versions(readings: list[Reading]) -> list[_Line]:
     versions = [
         _get_version(reading) for reading in readings if not reading.error
     ]
     newest = max(versions, default=(0, ''))
-    return [_describe(reading, newest) for reading in readings]
+    return [_make_line(reading, newest) for reading in readings]
 
 
 def _get_version(reading: Reading) -> tuple[int, str]:
@@ -47,7 +47,7 @@
     return (table['revision'], table['digest'])
 
 
-def _describe(reading: Reading, newest: tuple[int, str]) -> _Line:
+def _make_line(reading: Reading, newest: tuple[int, str]) -> _Line:
     if reading.error is not None:
         return _Line(
             address=reading.address,
@@ -60,7 +60,7 @@
     current = (revision, digest) == newest
     return _Line(
         address=reading.address,
-        name=reading.document[_NAME],
+        name=reading.document[_NAME_KEY],
         revision=revision,
         digest=digest,
         state='current' if current else 'behind',
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/trace.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/trace.py
@@ -1,4 +1,4 @@
-"""Print the history of one request or flow from the logs of processes."""
+"""History of one request or flow, collected from the logs of processes."""
 
 import sys
 from collections.abc import Iterable, Iterator
@@ -13,14 +13,14 @@
 
 __all__ = ('read_lines', 'select_history', 'trace')
 
-#: Events that change what a process believes; those near the history help
-#: to explain it.
-_BELIEFS: Final = frozenset((
+#: Events that change the state on which a process bases its decisions; those
+#: close in time help to explain the history.
+_STATE_CHANGES: Final = frozenset((
     'balancers_changed',
     'catalog_in_force',
     'isolated',
     'isolation_over',
-    # Which lines are missing from the history.
+    # Shows that lines are missing from the history.
     'log_lines_dropped',
     'started',
     'stopping',
@@ -31,11 +31,11 @@
     'upstream_gone',
     'upstreams_changed',
 ))
-_FLOW: Final = 'flow'
-#: Seconds around the history in which beliefs are shown.
+_FLOW_KEY: Final = 'flow'
+#: Seconds before and after the history in which state changes are shown.
 _AROUND_SECONDS: Final = 3.0
 
-Line = dict[str, Any]
+LogEntry = dict[str, Any]
 
 
 class UnreadableLog(KeelgapError):
@@ -44,8 +44,8 @@
     code = 'unreadable_log'
 
 
-def read_lines(text: Iterable[str]) -> Iterator[Line]:
-    """Yield the JSON objects of lines, whatever stands before them."""
+def read_lines(text: Iterable[str]) -> Iterator[LogEntry]:
+    """Yield the log entries in lines of text, skipping any prefix."""
     for line in text:
         start = line.find('{')
         if start < 0:
@@ -59,60 +59,64 @@
 
 
 def select_history(
-    lines: list[Line],
+    entries: list[LogEntry],
     wanted: str,
     *,
     around: bool,
-) -> list[Line]:
-    """Return the lines of a request or a flow, in order of their time.
+) -> list[LogEntry]:
+    """Return the log entries of a request or a flow, sorted by time.
 
-    A request leads to its flow, and the flow to all of its lines.  With
-    around, changes of belief shortly before and after are added.
+    A request is resolved to its flow, and all entries of the flow are
+    returned.  With ``around``, state changes shortly before and after are
+    included.
     """
-    named = [line for line in lines if _FLOW in line]
+    flow_entries = [entry for entry in entries if _FLOW_KEY in entry]
     flows = {
-        line[_FLOW]
-        for line in named
-        if wanted in {line.get('request'), line[_FLOW]}
-        or line[_FLOW].startswith(f'{wanted}>')
+        entry[_FLOW_KEY]
+        for entry in flow_entries
+        if wanted in {entry.get('request'), entry[_FLOW_KEY]}
+        or entry[_FLOW_KEY].startswith(f'{wanted}>')
     }
-    history = [line for line in named if line[_FLOW] in flows]
+    history = [entry for entry in flow_entries if entry[_FLOW_KEY] in flows]
     if around and history:
-        times = [line['time'] for line in history]
+        times = [entry['time'] for entry in history]
         first = min(times) - _AROUND_SECONDS
         last = max(times) + _AROUND_SECONDS
         history.extend(
-            line
-            for line in lines
-            if line['event'] in _BELIEFS and first <= line['time'] <= last
+            entry
+            for entry in entries
+            if entry['event'] in _STATE_CHANGES
+            and first <= entry['time'] <= last
         )
-    return sorted(history, key=lambda line: float(line['time']))
+    return sorted(history, key=lambda entry: float(entry['time']))
 
 
 def trace(wanted: str, files: tuple[str, ...], *, around: bool) -> int:
-    """Print the history; return 1 if there is none."""
-    lines: list[Line] = []
+    """Print the history; return an error status if there is none."""
+    entries: list[LogEntry] = []
     try:
         for name in files:
             with Path(name).open(encoding='utf-8', errors='replace') as log:
-                lines.extend(read_lines(log))
+                entries.extend(read_lines(log))
     except OSError as error:
         return exit_on_error(UnreadableLog(str(error)))
-    history = select_history(lines, wanted, around=around)
+    history = select_history(entries, wanted, around=around)
     with suppress(BrokenPipeError):
-        for line in history:
-            _print_line(line)
+        for entry in history:
+            _print_entry(entry)
     if not history:
-        print(f'no line knows {wanted}', file=sys.stderr)  # noqa: WPS421
+        print(f'no log line mentions {wanted}', file=sys.stderr)  # noqa: WPS421
         return EXIT_FAULTS
     return 0
 
 
-def _print_line(line: Line) -> None:
-    told = {'time', 'uptime', 'program', 'instance', 'event'}
+def _print_entry(entry: LogEntry) -> None:
+    header_keys = {'time', 'uptime', 'program', 'instance', 'event'}
     fields = ' '.join(
-        f'{name}={value}' for name, value in line.items() if name not in told
+        f'{name}={value}'
+        for name, value in entry.items()
+        if name not in header_keys
     )
     print(  # noqa: WPS421
-        f'{line["time"]:.3f} {line["instance"]} {line["event"]} {fields}',
+        f'{entry["time"]:.3f} {entry["instance"]} {entry["event"]} {fields}',
     )
--- a/packages/keelgap-balancer/src/keelgap_balancer/conf.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/conf.py
@@ -13,16 +13,16 @@
 
 
 class DrainSettings(NamedTuple):
-    """Section ``drain``: how a planned stop ends."""
+    """Section ``drain``: duration of a graceful shutdown."""
 
-    #: Seconds without a caller's datagram after which the process exits.
+    #: Seconds without a datagram from a caller after which the process exits.
     quiet_seconds: float = 2.0
-    #: Seconds after which it exits in any case.
+    #: Maximum seconds until the process exits.
     longest_seconds: float = 300.0
 
 
 class BalancerSettings(NamedTuple):
-    """All sections of a balancer's settings file."""
+    """All sections of the settings file of a balancer."""
 
     instance: InstanceSettings
     listen: ListenSettings
--- a/packages/keelgap-balancer/src/keelgap_balancer/defaults.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/defaults.py
@@ -1,4 +1,4 @@
-"""Default values of the balancer's policy, each with its reason."""
+"""Default values of the balancer's policy, with the reason for each."""
 
 from typing import Final
 
@@ -14,35 +14,36 @@
     'TIMER_SECONDS',
 )
 
-#: An agent that is silent for so long after a datagram was sent to it is
-#: suspect.  Four times a round trip between availability zones with the
-#: start of a handshake fits many times into one second.
+#: Seconds of silence, after a datagram was sent to an agent, until the agent is
+#: suspect.  Four round trips between availability zones with the start of a
+#: handshake take a fraction of a second.
 SILENCE_SECONDS: Final = 1.0
 
-#: Largest share of a service's upstreams that may be suspect at once.  More
-#: would mean that this balancer is cut off, not that the upstreams died.
+#: Maximum share of a service's upstreams that may be suspect at once.  If more
+#: are silent, this balancer is cut off rather than the upstreams dead.
 MAX_SUSPECT_SHARE: Final = 0.5
 
-#: First pause before a suspect is probed again.
+#: Initial delay before a suspect agent is probed again.
 PROBE_BACKOFF_SECONDS: Final = 0.5
 
-#: Factor by which the pause grows after each silent probe.
+#: Factor by which the delay grows after each unanswered probe.
 PROBE_BACKOFF_FACTOR: Final = 2.0
 
-#: Longest pause between probes of one suspect.
+#: Maximum delay between probes of one suspect agent.
 PROBE_BACKOFF_MAX_SECONDS: Final = 8.0
 
-#: Bound on probes of agents that take datagrams but were not heard, so that
-#: control traffic stays flat as the fleet grows: 20 * 70 octets a second.
+#: Maximum rate of probes of agents that are sent datagrams but were not heard
+#: from.  It keeps control traffic constant as the fleet grows: 20 * 70 octets
+#: per second.
 PROBES_PER_SECOND: Final = 20
 
 #: Period of the driver's timer.
 TIMER_SECONDS: Final = 0.1
 
-#: A timer that fires later than this was paused with its process; what
-#: looked like silence in that time is not counted.
+#: If the timer fires later than this after its previous run, the process was
+#: paused, and the silence of agents during the pause is ignored.
 PAUSE_SECONDS: Final = 0.5
 
-#: How long the address of a removed upstream stays a known owner, so that
-#: its open flows go on while it drains: one day.
+#: Seconds for which an agent whose upstream was removed may still own flows, so
+#: that its open flows continue while it drains: one day.
 OWNER_MEMORY_SECONDS: Final = 86400.0
--- a/packages/keelgap-balancer/src/keelgap_balancer/driver.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/driver.py
@@ -1,4 +1,4 @@
-"""The balancer's driver: sockets in, events through the reducer, sockets."""
+"""Driver of the balancer: passes datagrams to the reducer, runs effects."""
 
 import asyncio
 import socket
@@ -37,7 +37,7 @@
 
 
 class _Listener:
-    """The port of one service; closed with its exit stack."""
+    """Socket of one service, closed with its exit stack."""
 
     def __init__(self, sock: socket.socket, stack: ExitStack) -> None:
         self.sock = sock
@@ -45,7 +45,7 @@
 
 
 class BalancerDriver:
-    """Run the reducer against real sockets."""
+    """Run the reducer on sockets of the operating system."""
 
     def __init__(
         self,
@@ -53,52 +53,57 @@
         envelopes: EnvelopeCodec,
         metrics: SharedMetrics,
     ) -> None:
-        """Take what the driver works with; nothing is bound yet."""
+        """Initialize without binding sockets."""
         self.state = state
         self.envelopes = envelopes
         self.metrics = metrics
         self.loop = asyncio.get_running_loop()
         self.data_socket: socket.socket | None = None
         self.listeners: dict[int, _Listener] = {}
-        #: Told of a table revision later than the one in force here.
-        self.on_revision_seen: Callable[[Address, int], None] = _ignore
+        #: Called with a sender and its table revision if that is later than
+        #: the one in force here.
+        self.on_revision_seen: Callable[[Address, int], None] = _ignore_revision
         self.effect_handlers = MappingProxyType[
             type[BalancerEffect],
             Callable[[Any], None],
         ]({
             SendEnvelope: self._send_envelope,
             SendToCaller: self._send_to_caller,
-            Drop: self._drop,
-            Count: self._count,
+            Drop: self._count_drop,
+            Count: self._count_event,
             OpenService: self._open_service,
             CloseService: self._close_service,
         })
 
     def start(self, stack: ExitStack) -> None:
-        """Bind the data port; the stack closes all that was opened."""
+        """Bind the data port; the stack closes all sockets."""
         sock = bind_datagram('listen.data_port', self.state.address)
         stack.callback(sock.close)
         self.data_socket = sock
-        reader = make_reader(sock, self._read_envelope)
+        reader = make_reader(sock, self._handle_envelope)
         self.loop.add_reader(sock, reader)
         stack.callback(self.loop.remove_reader, sock)
         stack.callback(self._close_listeners)
 
     async def run_timer(self) -> None:
-        """Feed the reducer's timer until cancelled."""
+        """Dispatch timer events until cancelled."""
         while True:
             await asyncio.sleep(TIMER_SECONDS)
             self.dispatch(TimerFired(self.loop.time()))
 
     def dispatch(self, event: BalancerEvent) -> None:
-        """Reduce an event and carry out the effects."""
+        """Apply an event to the state and run the effects."""
         state, effects = reduce(self.state, event)
         self.state = state
         handlers = self.effect_handlers
         for effect in effects:
             handlers[type(effect)](effect)
 
-    def _read_envelope(self, datagram: bytes, sender: tuple[str, int]) -> None:
+    def _handle_envelope(
+        self,
+        datagram: bytes,
+        sender: tuple[str, int],
+    ) -> None:
         try:
             envelope = self.envelopes.open(datagram, sender)
         except WireError as error:
@@ -123,10 +128,10 @@
             return
         send_datagram(listener.sock, effect.payload, effect.caller)
 
-    def _drop(self, effect: Drop) -> None:
+    def _count_drop(self, effect: Drop) -> None:
         self.metrics.drops.labels(effect.reason).inc()
 
-    def _count(self, effect: Count) -> None:
+    def _count_event(self, effect: Count) -> None:
         self.metrics.events.labels(effect.name).inc()
 
     def _open_service(self, effect: OpenService) -> None:
@@ -135,7 +140,7 @@
         try:
             sock = bind_datagram(f'port of service {service.name}', address)
         except PortInUse as error:
-            # The other services must not suffer from one bad port.
+            # A port in use affects only its own service.
             logger.bind(service=service.name, error=str(error)).error(
                 'service_port_in_use',
             )
@@ -143,7 +148,7 @@
             return
         stack = ExitStack()
         stack.callback(sock.close)
-        reader = make_reader(sock, self._make_caller_reader(service.number))
+        reader = make_reader(sock, self._make_caller_handler(service.number))
         self.loop.add_reader(sock, reader)
         stack.callback(self.loop.remove_reader, sock)
         self.listeners[service.number] = _Listener(sock, stack)
@@ -158,21 +163,22 @@
             listener.stack.close()
         self.listeners.clear()
 
-    def _make_caller_reader(
+    def _make_caller_handler(
         self,
         service: int,
     ) -> Callable[[bytes, tuple[str, int]], None]:
         get_time = self.loop.time
 
-        def read_caller(datagram: bytes, sender: tuple[str, int]) -> None:
-            # A plain pair equals an Address and costs nothing to make.
+        def handle_datagram(datagram: bytes, sender: tuple[str, int]) -> None:
+            # A plain tuple equals an Address and saves its construction for
+            # each datagram.
             caller = cast('Address', sender)
             self.dispatch(
                 CallerDatagram(get_time(), service, caller, datagram),
             )
 
-        return read_caller
+        return handle_datagram
 
 
-def _ignore(sender: Address, revision: int) -> None:
-    """Stand in until the control side has started."""
+def _ignore_revision(sender: Address, revision: int) -> None:
+    """Ignore a revision; used until the control plane has started."""
--- a/packages/keelgap-balancer/src/keelgap_balancer/effects.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/effects.py
@@ -1,4 +1,4 @@
-"""Effects that the balancer's reducer asks its driver for."""
+"""Effects of the balancer's reducer, run by the driver."""
 
 from typing import NamedTuple
 
@@ -33,16 +33,16 @@
 
 
 class Drop(NamedTuple):
-    """Count a datagram that is not passed on."""
+    """Count a datagram that is dropped."""
 
     #: Code of a WireError.
     reason: str
 
 
 class Count(NamedTuple):
-    """Count something that operators watch."""
+    """Increment a counter of the metrics."""
 
-    #: Name of a counter, without its prefix.
+    #: Name of the counter without its prefix.
     name: str
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/events.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/events.py
@@ -1,4 +1,7 @@
-"""Events of the balancer's reducer; ``now`` is in seconds of one clock."""
+"""Events of the balancer's reducer.
+
+``now`` is the time in seconds of one monotonic clock.
+"""
 
 from typing import NamedTuple
 
@@ -23,7 +26,7 @@
 
 
 class CallerDatagram(NamedTuple):
-    """A caller's datagram arrived on the port of a service."""
+    """A datagram from a caller arrived on the port of a service."""
 
     now: float
     service: int
@@ -32,7 +35,7 @@
 
 
 class EnvelopeReceived(NamedTuple):
-    """An authentic envelope arrived from another process."""
+    """An authenticated envelope arrived from another process."""
 
     now: float
     sender: Address
--- a/packages/keelgap-balancer/src/keelgap_balancer/forwarding.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/forwarding.py
@@ -1,4 +1,4 @@
-"""Where a datagram goes: the decisions of the data path."""
+"""Routing decisions for datagrams from callers, agents and balancers."""
 
 from collections.abc import Callable
 from types import MappingProxyType
@@ -34,7 +34,7 @@
 
 
 def make_message(state: BalancerState, kind: MessageKind) -> Envelope:
-    """Return an envelope that concerns no flow."""
+    """Return an envelope without a service, a caller and a payload."""
     return Envelope(kind, 0, state.table.revision)
 
 
@@ -42,7 +42,7 @@
     state: BalancerState,
     event: CallerDatagram,
 ) -> Effects:
-    """Route a caller's datagram to the agent that owns or may take it."""
+    """Route a datagram to the agent that owns its flow or may accept it."""
     state.last_caller_datagram = event.now
     try:
         return _route(state, event)
@@ -103,12 +103,14 @@
 ) -> tuple[Address, ...]:
     """Return the ranked agents for a new flow, suspects last.
 
-    The key is the connection id that the caller made up, so that all
-    datagrams of one handshake get the same ranking at every balancer.
+    The hash key is the connection id that the caller chose, so that every
+    balancer ranks the agents in the same order for all datagrams of one
+    handshake.
     """
-    takers = state.takers.get(service, ())
-    # Suspects are at most half, so that twice as many hold enough others.
-    ranked = rank(connection_id, takers, MAX_CANDIDATES * 2)
+    eligible = state.takers.get(service, ())
+    # At most half of the upstreams are suspect, so that twice as many of them
+    # include enough others.
+    ranked = rank(connection_id, eligible, MAX_CANDIDATES * 2)
     agents = [upstream.agent for upstream in ranked]
     agents.sort(key=state.health.is_suspect)
     return tuple(agents[:MAX_CANDIDATES])
@@ -135,18 +137,20 @@
     envelope: Envelope,
     now: float,
 ) -> Effects:
-    """Send through one peer, which must deliver or drop: never a loop.
+    """Send an envelope to a suspect agent through a peer balancer.
 
-    The peer may be cut off, too, so the choice changes with each second.
+    The peer delivers or drops the datagram and never passes it to a third
+    balancer, which rules out loops.  The peer may be cut off as well, so the
+    choice is made anew each second.
     """
     if not state.peers:
         return (SendEnvelope(agent, envelope),)
-    members = (
+    weighted_peers = (
         (Weighted(xxh3_64_intdigest(pack_address(peer)), 1), peer)
         for peer in state.peers
     )
     key = b'%s%d' % (pack_address(agent), int(now))
-    peer = rank(key, members, 1)[0]
+    peer = rank(key, weighted_peers, 1)[0]
     detour = envelope._replace(
         kind=MessageKind.DETOUR,
         via=agent,
@@ -155,7 +159,7 @@
 
 
 def handle_envelope(state: BalancerState, event: EnvelopeReceived) -> Effects:
-    """Act on a message from an agent or from another balancer."""
+    """Handle an envelope from an agent or from another balancer."""
     state.health.note_heard(event.sender, event.now)
     handler = _HANDLERS.get(event.envelope.kind)
     if handler is None:
@@ -185,7 +189,7 @@
     return SendEnvelope(agent, forward), Count('detours_delivered')
 
 
-def _answer_probe(state: BalancerState, event: EnvelopeReceived) -> Effects:
+def _reply_to_probe(state: BalancerState, event: EnvelopeReceived) -> Effects:
     reply = make_message(state, MessageKind.PROBE_REPLY)
     return (SendEnvelope(event.sender, reply),)
 
@@ -200,6 +204,6 @@
 ]({
     MessageKind.RETURN: _return_to_caller,
     MessageKind.DETOUR: _deliver_detour,
-    MessageKind.PROBE: _answer_probe,
+    MessageKind.PROBE: _reply_to_probe,
     MessageKind.PROBE_REPLY: _ignore,
 })
--- a/packages/keelgap-balancer/src/keelgap_balancer/health.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/health.py
@@ -1,7 +1,7 @@
-"""Which agents are suspect, from what this balancer itself saw.
+"""Detection of suspect agents from this balancer's own observations.
 
-Only silence after a datagram was sent counts, never a health endpoint and
-never the instance list alone.
+An agent becomes suspect only by silence after a datagram was sent to it, never
+by a health endpoint or the instance list alone.
 """
 
 from collections.abc import Iterator, Sequence, Set
@@ -13,51 +13,52 @@
 
 
 class AgentHealth:
-    """What one balancer saw of one agent."""
+    """Health of one agent as observed by this balancer."""
 
     __slots__ = (
         'backoff',
         'last_heard',
-        'probe_at',
+        'next_probe_at',
         'suspect',
         'waiting_since',
     )
 
     def __init__(self, now: float) -> None:
-        """Start as an agent that was heard just now."""
+        """Initialize as if a message had just arrived from the agent."""
         self.last_heard = now
-        #: Time of the first datagram since the agent was last heard.
+        #: Time of the first datagram that was sent since the latest message
+        #: from the agent and needs an answer.
         self.waiting_since: float | None = None
         self.suspect = False
-        self.probe_at = now
+        self.next_probe_at = now
         self.backoff = defaults.PROBE_BACKOFF_SECONDS
 
     def note_heard(self, now: float) -> None:
-        """Clear any suspicion: an authentic message arrived."""
+        """Record an authenticated message; the agent is no longer suspect."""
         self.last_heard = now
         self.waiting_since = None
         self.suspect = False
         self.backoff = defaults.PROBE_BACKOFF_SECONDS
 
-    def note_expecting(self, now: float) -> None:
-        """Start to wait for an answer, unless one is awaited already."""
+    def start_wait(self, now: float) -> None:
+        """Start waiting for an answer, unless one is already awaited."""
         if self.waiting_since is None:
             self.waiting_since = now
 
-    def forgive_pause(self, now: float) -> None:
-        """Restart the wait: this process was paused, not the agent silent."""
+    def restart_wait(self, now: float) -> None:
+        """Restart the wait for an answer after a pause of this process."""
         if self.waiting_since is not None and not self.suspect:
             self.waiting_since = now
 
     def is_overdue(self, now: float) -> bool:
-        """Return whether the agent has been silent for too long."""
+        """Return whether the awaited answer is overdue."""
         if self.waiting_since is None:
             return False
         return now - self.waiting_since >= defaults.SILENCE_SECONDS
 
-    def note_probed(self, now: float) -> None:
-        """Put off the next probe."""
-        self.probe_at = now + self.backoff
+    def record_probe(self, now: float) -> None:
+        """Schedule the next probe and increase the delay until another."""
+        self.next_probe_at = now + self.backoff
         self.backoff = min(
             self.backoff * defaults.PROBE_BACKOFF_FACTOR,
             defaults.PROBE_BACKOFF_MAX_SECONDS,
@@ -65,19 +66,19 @@
 
 
 class HealthMap:
-    """The health of all agents, with a bound on suspects a service."""
+    """Health of all agents, with a limit on the suspects of each service."""
 
     def __init__(self) -> None:
-        """Start with nobody suspect."""
+        """Initialize without agents."""
         self.agents: dict[Address, AgentHealth] = {}
-        #: Those of whom an answer is awaited; the timer looks at no others.
+        #: Agents from which an answer is awaited; the timer checks only these.
         self.awaited: set[Address] = set()
-        self.last_timer: float | None = None
-        self.probes_left = defaults.PROBES_PER_SECOND
-        self.probes_refilled = float('-inf')
+        self.last_timer_at: float | None = None
+        self.probe_tokens = defaults.PROBES_PER_SECOND
+        self.probe_tokens_refilled_at = float('-inf')
 
     def note_heard(self, agent: Address, now: float) -> None:
-        """Record an authentic message from an agent."""
+        """Record an authenticated message from an agent."""
         health = self.agents.get(agent)
         if health is not None:
             health.note_heard(now)
@@ -85,40 +86,42 @@
 
     def expect_answer(self, agent: Address, now: float) -> None:
         """Record a datagram that the agent must answer."""
-        self._get(agent, now).note_expecting(now)
+        self._get_or_create(agent, now).start_wait(now)
         self.awaited.add(agent)
 
     def take_probe(self, agent: Address, now: float) -> bool:
-        """Return whether to probe an agent that takes datagrams of flows.
+        """Return whether to probe an agent to which a datagram is forwarded.
 
-        Answers to known flows may return through any balancer, so silence
-        here means nothing until a probe of ours went unanswered.
+        If a probe is due and the rate allows it, start to wait for its answer.
+        Datagrams of established flows may return through any balancer, so the
+        silence of an agent has no meaning until it leaves a probe of this
+        balancer unanswered.
         """
-        health = self._get(agent, now)
-        quiet = now - health.last_heard >= defaults.SILENCE_SECONDS
-        if health.waiting_since is not None or not quiet:
+        health = self._get_or_create(agent, now)
+        is_silent = now - health.last_heard >= defaults.SILENCE_SECONDS
+        if health.waiting_since is not None or not is_silent:
             return False
         if not self._take_probe_token(now):
             return False
-        health.note_expecting(now)
+        health.start_wait(now)
         self.awaited.add(agent)
         return True
 
     def is_suspect(self, agent: Address) -> bool:
-        """Return whether an agent is thought to be dead or cut off."""
+        """Return whether an agent is presumed dead or unreachable."""
         health = self.agents.get(agent)
         return health is not None and health.suspect
 
     def check_pause(self, now: float) -> None:
-        """Forgive silence that a pause of this process explains."""
-        last = self.last_timer
-        self.last_timer = now
-        if last is not None and now - last > defaults.PAUSE_SECONDS:
+        """Restart all waits if this process was paused."""
+        previous = self.last_timer_at
+        self.last_timer_at = now
+        if previous is not None and now - previous > defaults.PAUSE_SECONDS:
             for agent in self.awaited:
-                self.agents[agent].forgive_pause(now)
+                self.agents[agent].restart_wait(now)
 
     def has_overdue(self, now: float) -> bool:
-        """Return whether an agent became silent for too long."""
+        """Return whether the answer of an agent not yet suspect is overdue."""
         return any(
             self.agents[agent].is_overdue(now)
             and not self.agents[agent].suspect
@@ -126,48 +129,49 @@
         )
 
     def update_suspects(self, members: Sequence[Address], now: float) -> int:
-        """Mark the silent upstreams of one service; return the new ones.
+        """Mark the silent agents of one service; return how many are new.
 
-        Never more than MAX_SUSPECT_SHARE of them are suspect at once, but
-        always one may be: suspects rank last and are never left out, so that
-        an only upstream is still asked, through a peer.
+        At most MAX_SUSPECT_SHARE of the agents are suspect at once, but at
+        least one may be.  Suspects rank last and are never excluded, so that
+        the only agent of a service still gets datagrams, through a peer.
         """
         known = [
             health
             for health in map(self.agents.get, members)
             if health is not None
         ]
-        bound = max(1, int(len(members) * defaults.MAX_SUSPECT_SHARE))
-        room = bound - sum(health.suspect for health in known)
+        limit = max(1, int(len(members) * defaults.MAX_SUSPECT_SHARE))
+        remaining = limit - sum(health.suspect for health in known)
         silent = [
             health
             for health in known
             if not health.suspect and health.is_overdue(now)
         ]
-        newly = silent[: max(room, 0)]
-        for health in newly:
+        new_suspects = silent[: max(remaining, 0)]
+        for health in new_suspects:
             health.suspect = True
-            health.probe_at = now
-        return len(newly)
+            health.next_probe_at = now
+        return len(new_suspects)
 
     def list_probes(self, now: float) -> Iterator[Address]:
-        """Yield the suspects that are due for a probe, and note it."""
+        """Yield the suspects that are due for a probe and reschedule them."""
         due = [
             agent
             for agent in self.awaited
-            if self.agents[agent].suspect and self.agents[agent].probe_at <= now
+            if self.agents[agent].suspect
+            and self.agents[agent].next_probe_at <= now
         ]
         for agent in sorted(due):
-            self.agents[agent].note_probed(now)
+            self.agents[agent].record_probe(now)
             yield agent
 
     def keep_only(self, agents: Set[Address]) -> None:
-        """Forget agents that are no longer known."""
+        """Forget all agents except these."""
         for agent in self.agents.keys() - agents:
             self.agents.pop(agent)
             self.awaited.discard(agent)
 
-    def _get(self, agent: Address, now: float) -> AgentHealth:
+    def _get_or_create(self, agent: Address, now: float) -> AgentHealth:
         health = self.agents.get(agent)
         if health is None:
             health = AgentHealth(now)
@@ -175,8 +179,8 @@
         return health
 
     def _take_probe_token(self, now: float) -> bool:
-        if now - self.probes_refilled >= 1:
-            self.probes_refilled = now
-            self.probes_left = defaults.PROBES_PER_SECOND
-        self.probes_left -= 1
-        return self.probes_left >= 0
+        if now - self.probe_tokens_refilled_at >= 1:
+            self.probe_tokens_refilled_at = now
+            self.probe_tokens = defaults.PROBES_PER_SECOND
+        self.probe_tokens -= 1
+        return self.probe_tokens >= 0
--- a/packages/keelgap-balancer/src/keelgap_balancer/main.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/main.py
@@ -1,4 +1,4 @@
-"""The ``keelgap`` program: the balancer and the operators' commands."""
+"""Command line of the ``keelgap`` program: the balancer and its tools."""
 
 import sys
 
@@ -23,14 +23,14 @@
     """keelgap: a layer-4 load balancer for services that change often."""
 
     def __init__(self) -> None:
-        """Group the commands."""
+        """Initialize the command groups."""
         self.check = Check()
         self.example = Example()
         self.show = Show()
 
     @SetParseFn(str)
     def run(self, settings: str) -> None:
-        """Run a balancer with the settings of an INI file."""
+        """Run a balancer with settings from an INI file."""
         sys.exit(run(settings))
 
     @SetParseFns(json=DefaultParseValue)
@@ -41,18 +41,18 @@
 
     @SetParseFn(str)
     def split(self, table: str, directory: str, prefix: str = 'table') -> None:
-        """Split a long table into parts under 1 MiB and a manifest."""
+        """Split a large table into parts under 1 MiB and a manifest."""
         sys.exit(split(table, directory, prefix))
 
     @SetParseFn(str)
     def run_packets(self, settings: str) -> None:
-        """Run a balancer of opaque packet flows with an INI file."""
+        """Run a packet balancer with settings from an INI file."""
         sys.exit(run_packets(settings))
 
     @SetParseFns(around=DefaultParseValue)
     @SetParseFn(str)
     def trace(self, wanted: str, *logs: str, around: bool = False) -> None:
-        """Print the history of a request, flow or HOST:PORT from LOGS."""
+        """Print the history of a request, flow or HOST:PORT found in LOGS."""
         sys.exit(trace(wanted, logs, around=around))
 
     def version(self) -> str:
--- a/packages/keelgap-balancer/src/keelgap_balancer/membership.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/membership.py
@@ -1,4 +1,4 @@
-"""What follows from a new table or a new list of instances."""
+"""Handlers of a new table and of a new list of instances."""
 
 from xxhash import xxh3_64_intdigest
 
@@ -23,7 +23,7 @@
     before = state.table
     state.table = event.table
     _update_owners(state, event.now)
-    _refresh_takers(state, before)
+    _update_eligible(state, before)
     return _compare_services(before, event.table)
 
 
@@ -31,14 +31,14 @@
     state: BalancerState,
     event: InstancesChanged,
 ) -> tuple[BalancerEffect, ...]:
-    """Take note of who is live and who is leaving."""
+    """Put a list of instances in force, unless it is not newer."""
     if event.instances.revision <= state.instances.revision:
         return ()
     state.instances = event.instances
     peers = event.instances.select_data('balancer', 'live')
     state.peers = tuple(sorted(peers - {state.address}))
     _update_owners(state, event.now)
-    _refresh_takers(state, state.table)
+    _update_eligible(state, state.table)
     return ()
 
 
@@ -66,10 +66,12 @@
 
 
 def _update_owners(state: BalancerState, now: float) -> None:
-    """Note who may own flows; those who depart stay owners for a day.
+    """Update the agents that may own flows.
 
-    A row may go before its last flow ends, and a balancer that joins later
-    never saw it: the platform's list counts as published, too.
+    An agent that is no longer published may own flows for another
+    FORMER_OWNER_SECONDS, because its row may be removed before its last flow
+    ends.  Agents of the instance list count as published as well, because a
+    balancer that joins later never had the row.
     """
     listed = (
         instance.data
@@ -82,26 +84,24 @@
         for upstream in members
     )
     owners = frozenset((*listed, *rows))
-    until = now + OWNER_MEMORY_SECONDS
-    departed = {
-        agent: end for agent, end in state.departed.items() if end > now
-    }
-    departed.update(dict.fromkeys(state.owners - owners, until))
+    expires_at = now + OWNER_MEMORY_SECONDS
+    former = {agent: end for agent, end in state.departed.items() if end > now}
+    former.update(dict.fromkeys(state.owners - owners, expires_at))
     state.owners = owners
-    state.departed = departed
-    state.health.keep_only(owners | departed.keys())
+    state.departed = former
+    state.health.keep_only(owners | former.keys())
 
 
-def _refresh_takers(state: BalancerState, before: Table) -> None:
-    """Rank anew the services whose rows or leaving upstreams changed."""
+def _update_eligible(state: BalancerState, before: Table) -> None:
+    """Update services of which rows or leaving agents changed."""
     leaving = state.instances.select_data('agent', 'leaving')
     if leaving != state.leaving:
         before = EMPTY_TABLE
     state.leaving = leaving
-    old = before.upstreams
+    previous = before.upstreams
     state.takers = {
         number: state.takers[number]
-        if old.get(number) is members
+        if previous.get(number) is members
         else _rank_members(members, leaving)
         for number, members in state.table.upstreams.items()
     }
@@ -112,12 +112,12 @@
     leaving: frozenset[Address],
 ) -> tuple[RankedUpstream, ...]:
     return tuple(
-        _make_ranked(upstream)
+        _add_weight(upstream)
         for upstream in members
         if upstream.state == 'active' and upstream.agent not in leaving
     )
 
 
-def _make_ranked(upstream: Upstream) -> RankedUpstream:
+def _add_weight(upstream: Upstream) -> RankedUpstream:
     seed = xxh3_64_intdigest(upstream.name.encode())
     return Weighted(seed, upstream.weight), upstream
--- a/packages/keelgap-balancer/src/keelgap_balancer/reducer.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/reducer.py
@@ -1,7 +1,7 @@
 """The balancer's reducer: ``(state, event) -> (state, effects)``.
 
-The state object is owned by the reducer and changed in place, because one
-copy a datagram would cost more than all decisions together.
+The reducer owns the state object and modifies it in place, because copying it
+for each datagram would cost more than all decisions together.
 """
 
 from collections.abc import Callable
@@ -36,16 +36,16 @@
     state: BalancerState,
     event: BalancerEvent,
 ) -> tuple[BalancerState, Effects]:
-    """Return the state after an event and what the driver must do."""
+    """Return the state after an event and the effects for the driver."""
     return state, _HANDLERS[type(event)](state, event)
 
 
 def _handle_timer(state: BalancerState, event: TimerFired) -> Effects:
     health = state.health
     health.check_pause(event.now)
-    newly = 0
+    new_suspects = 0
     if health.has_overdue(event.now):
-        newly = sum(
+        new_suspects = sum(
             health.update_suspects(
                 [upstream.agent for upstream in members],
                 event.now,
@@ -56,7 +56,7 @@
         SendEnvelope(agent, make_message(state, MessageKind.PROBE))
         for agent in health.list_probes(event.now)
     )
-    return (*probes, *(Count('suspected') for _ in range(newly)))
+    return (*probes, *(Count('suspected') for _ in range(new_suspects)))
 
 
 def _handle_stop(state: BalancerState, event: StopRequested) -> Effects:
--- a/packages/keelgap-balancer/src/keelgap_balancer/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/server.py
@@ -1,4 +1,4 @@
-"""A whole balancer: sockets, control side and admin in one exit stack."""
+"""Server of a balancer: sockets, control plane and admin port."""
 
 import asyncio
 from contextlib import AsyncExitStack, ExitStack
@@ -35,7 +35,7 @@
 
 
 class UpstreamReport(TypedDict):
-    """One upstream as this balancer sees it."""
+    """State of one upstream in the view of this balancer."""
 
     service: str
     name: str
@@ -47,10 +47,10 @@
 
 
 class BalancerServer:
-    """Start, drain and describe one balancer."""
+    """Server that runs and drains a balancer and reports its state."""
 
     def __init__(self, settings: BalancerSettings) -> None:
-        """Load the keys; raises ImproperlyConfigured with every fault."""
+        """Load the keys; raise ImproperlyConfigured with all faults."""
         self.settings = settings
         self.keys = load_keys(settings.keys)
         self.metrics = SharedMetrics()
@@ -59,20 +59,20 @@
         self.loop = asyncio.get_running_loop()
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Bind everything; the stack closes it."""
+        """Bind all sockets and start the tasks; the stack closes them."""
         instance = self.settings.instance
         listen = self.settings.listen
-        data = Address(instance.address, listen.data_port)
-        state = BalancerState(data, self.keys.make_connection_ids())
-        envelopes = self.keys.make_envelopes(make_incarnation(), data)
+        data_address = Address(instance.address, listen.data_port)
+        state = BalancerState(data_address, self.keys.make_connection_ids())
+        envelopes = self.keys.make_envelopes(make_incarnation(), data_address)
         self.driver = BalancerDriver(state, envelopes, self.metrics)
         self.driver.start(stack.enter_context(ExitStack()))
         self.plane = await start_control_plane(
             PlaneSettings(instance, listen, self.settings.config_service),
             self.keys,
             self.metrics,
-            self._take_change,
-            self._count_stray,
+            self._handle_change,
+            self._count_stray_message,
             stack,
         )
         self.driver.on_revision_seen = self.plane.dissemination.note_revision
@@ -91,7 +91,11 @@
         )
 
     async def drain(self) -> None:
-        """Leave in a planned way: forward until the fabric is quiet."""
+        """Shut down gracefully: forward until callers send no more datagrams.
+
+        The network still routes datagrams here for a while; the settings
+        limit how long.
+        """
         started = self.loop.time()
         self.driver.dispatch(StopRequested(started))
         settings = self.settings.drain
@@ -115,8 +119,8 @@
                 state=upstream.state,
                 weight=upstream.weight,
                 takes_new_flows=any(
-                    taker.name == upstream.name
-                    for _, taker in state.takers.get(number, ())
+                    eligible.name == upstream.name
+                    for _, eligible in state.takers.get(number, ())
                 ),
                 suspect=state.health.is_suspect(upstream.agent),
             )
@@ -138,12 +142,12 @@
             self.loop.time(),
         )
 
-    def _take_change(self, parsed: Parsed) -> None:
+    def _handle_change(self, parsed: Parsed) -> None:
         now = self.loop.time()
         if isinstance(parsed, Table):
             self.driver.dispatch(TableChanged(now, parsed))
         else:
             self.driver.dispatch(InstancesChanged(now, parsed))
 
-    def _count_stray(self, delivery: Delivery) -> None:
+    def _count_stray_message(self, delivery: Delivery) -> None:
         self.metrics.drops.labels('stray_message').inc()
--- a/packages/keelgap-balancer/src/keelgap_balancer/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/state.py
@@ -1,4 +1,8 @@
-"""State of a balancer: the table, and soft hints.  Nothing per flow."""
+"""State of a balancer.
+
+It holds the table, the instances and the observed health of agents, but nothing
+per flow.
+"""
 
 from keelgap.addresses import Address
 from keelgap.instances import NO_INSTANCES, InstanceList
@@ -13,28 +17,29 @@
 
 
 class BalancerState:
-    """What the reducer owns; it alone changes it, in place."""
+    """State of the reducer, which alone modifies it, in place."""
 
     def __init__(self, address: Address, codec: ConnectionIdCodec) -> None:
-        """Start without a table."""
+        """Initialize without a table."""
         self.address = address
         self.codec = codec
         self.table: Table = EMPTY_TABLE
         self.instances: InstanceList = NO_INSTANCES
-        #: Upstreams that may take new flows, by service number.
+        #: Upstreams that may get new flows, with weights, by service number.
         self.takers: dict[int, tuple[RankedUpstream, ...]] = {}
-        #: Agents in the table or the list; each may own flows.
+        #: Agents in the table or the instance list; each may own flows.
         self.owners: frozenset[Address] = frozenset()
-        #: Agents that were published once, and until when they may own flows.
+        #: Agents that are no longer published, and the time until which they
+        #: may own flows.
         self.departed: dict[Address, float] = {}
-        #: Agents that the platform shows as leaving.
+        #: Agents that the instance list marks as leaving.
         self.leaving: frozenset[Address] = frozenset()
-        #: Other balancers that may deliver in our stead.
+        #: Other balancers that can deliver datagrams to suspect agents.
         self.peers: tuple[Address, ...] = ()
         self.health = HealthMap()
         self.stopping = False
         self.last_caller_datagram = float('-inf')
 
     def is_owner(self, agent: Address) -> bool:
-        """Return whether an agent was published and may own flows."""
+        """Return whether an agent is published or was recently."""
         return agent in self.owners or agent in self.departed
