--- a/deploy/agent.py
+++ b/deploy/agent.py
@@ -3,8 +3,8 @@
 import signal
 import sys
 
-# A signal may arrive while the imports run; the default action would end the
-# process with an error.
+# A signal may arrive during the imports, when the default action would end the
+# process with an error status.
 signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(0))
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/health.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/health.py
@@ -46,7 +46,10 @@
             self.waiting_since = now
 
     def restart_wait(self, now: float) -> None:
-        """Restart the wait for an answer after a pause of this process."""
+        """Restart the wait after a pause of this process.
+
+        The pause, rather than the agent, explains the missing answer.
+        """
         if self.waiting_since is not None and not self.suspect:
             self.waiting_since = now
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/membership.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/membership.py
@@ -17,7 +17,7 @@
     state: BalancerState,
     event: TableChanged,
 ) -> tuple[BalancerEffect, ...]:
-    """Put a table in force, unless it is older than the one in force."""
+    """Put a table in force if it is newer than the one in force."""
     if event.table.version <= state.table.version:
         return ()
     before = state.table
@@ -31,7 +31,7 @@
     state: BalancerState,
     event: InstancesChanged,
 ) -> tuple[BalancerEffect, ...]:
-    """Put a list of instances in force, unless it is not newer."""
+    """Put an instance list in force if it is newer than the one in force."""
     if event.instances.revision <= state.instances.revision:
         return ()
     state.instances = event.instances
@@ -93,7 +93,10 @@
 
 
 def _update_eligible(state: BalancerState, before: Table) -> None:
-    """Update services of which rows or leaving agents changed."""
+    """Update the eligible upstreams of services whose rows changed.
+
+    A change of the leaving agents updates all services.
+    """
     leaving = state.instances.select_data('agent', 'leaving')
     if leaving != state.leaving:
         before = EMPTY_TABLE
