--- a/packages/keelgap-standins/src/keelgap_standins/config_service.py
+++ b/packages/keelgap-standins/src/keelgap_standins/config_service.py
@@ -1,4 +1,4 @@
-"""Stand-in of the configuration service: read and watch over HTTP."""
+"""In-memory configuration service with reads and watches over HTTP."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -11,29 +11,29 @@
 
 __all__ = ('ConfigService',)
 
-_DEFAULT_WAIT: Final = 30.0
+_DEFAULT_WAIT_SECONDS: Final = 30.0
 
 
 class ConfigService:
-    """Hold values that the operators' side writes and processes read."""
+    """Key-value store that operators write and processes read or watch."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty store."""
         self.values: dict[str, bytes] = {}
         self.index = 0
-        self.reads = 0
+        self.read_count = 0
         self.away = False
-        self.changed = asyncio.Event()
+        self.change_event = asyncio.Event()
 
     def put(self, key: str, value: bytes) -> None:
-        """Write a value, as the operators' scripts do."""
+        """Write a value and wake up all watches."""
         self.index += 1
         self.values[key] = value
-        self.changed.set()
-        self.changed = asyncio.Event()
+        self.change_event.set()
+        self.change_event = asyncio.Event()
 
     async def start(self, address: Address, stack: AsyncExitStack) -> None:
-        """Serve until the stack closes."""
+        """Listen on an address until the stack closes."""
         app = web.Application()
         app.router.add_get('/v1/kv/{key}', self._read)
         runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
@@ -42,14 +42,16 @@
         await web.TCPSite(runner, address.host, address.port).start()
 
     async def _read(self, request: web.Request) -> web.Response:
-        self.reads += 1
+        self.read_count += 1
         if self.away:
             return web.Response(status=503)
         key = request.match_info['key']
-        known = int(request.query.get('index', '0'))
-        wait = float(request.query.get('wait', '').rstrip('s') or _DEFAULT_WAIT)
-        if known == self.index or key not in self.values:
-            await self._wait(wait)
+        known_index = int(request.query.get('index', '0'))
+        wait_seconds = float(
+            request.query.get('wait', '').rstrip('s') or _DEFAULT_WAIT_SECONDS
+        )
+        if known_index == self.index or key not in self.values:
+            await self._wait_for_change(wait_seconds)
         if self.away or key not in self.values:
             return web.Response(status=503)
         return web.Response(
@@ -57,9 +59,9 @@
             headers={INDEX_HEADER: str(self.index)},
         )
 
-    async def _wait(self, seconds: float) -> None:
-        changed = self.changed
+    async def _wait_for_change(self, seconds: float) -> None:
+        change_event = self.change_event
         try:
-            await asyncio.wait_for(changed.wait(), seconds)
+            await asyncio.wait_for(change_event.wait(), seconds)
         except TimeoutError:
             return
--- a/packages/keelgap-standins/src/keelgap_standins/gossip.py
+++ b/packages/keelgap-standins/src/keelgap_standins/gossip.py
@@ -1,8 +1,8 @@
-"""Fake of everything around the dissemination reducers of many processes.
+"""Discrete-event simulation of processes that disseminate documents.
 
-One queue of timed calls on a paused clock, a network that loses and delays
-messages, and a configuration service that may be away or restored from an old
-copy.  The reducers are the real ones.
+The dissemination reducers are the real ones.  Simulated are the clock, a
+network that loses, delays and duplicates messages, and a configuration service
+that may be unavailable or restored from an old copy.
 """
 
 import heapq
@@ -46,39 +46,39 @@
     'start_net',
 )
 
-_NAMES: Final = DocumentNames()
-TABLE_KEY, INSTANCES_KEY = _NAMES
-#: One way between availability zones, in seconds.
-_DELAY: Final = 0.0015
-#: Longest delay of a doubled message, in seconds.
-_LATEST: Final = 3.0
-_READ_DELAY: Final = 0.005
-_WAIT: Final = 30.0
+_DOCUMENT_NAMES: Final = DocumentNames()
+TABLE_KEY, INSTANCES_KEY = _DOCUMENT_NAMES
+#: Mean one-way delay of a message, as between availability zones.
+_ZONE_DELAY_SECONDS: Final = 0.0015
+#: Maximum delay of the second copy of a duplicated message.
+_MAX_DUPLICATE_DELAY_SECONDS: Final = 3.0
+_READ_DELAY_SECONDS: Final = 0.005
+_WATCH_SECONDS: Final = 30.0
 
 
-class InForce(NamedTuple):
-    """A version came into force at a time."""
+class AppliedVersion(NamedTuple):
+    """A document version that a process put in force, and when."""
 
-    now: float
+    applied_at: float
     key: str
     revision: int
     digest: str
 
 
 class Process:
-    """One process: its reducer's state and what it did."""
+    """Reducer state of one process, and a record of what it did."""
 
     def __init__(self, state: DisseminationState) -> None:
-        """Start with a state."""
+        """Create a process that is not paused."""
         self.state = state
-        self.in_force: list[InForce] = []
+        self.in_force: list[AppliedVersion] = []
         self.octets_sent = 0
         self.paused = False
-        self.waiting: list[DisseminationEvent] = []
-        self.watch = 0
+        self.queued_events: list[DisseminationEvent] = []
+        self.watch_id = 0
 
     def get_revision(self, key: str = TABLE_KEY) -> int:
-        """Return the revision in force."""
+        """Return the revision of a document in force, or 0 for none."""
         for entry in reversed(self.in_force):
             if entry.key == key:
                 return entry.revision
@@ -89,23 +89,24 @@
     """Processes, the network between them and the configuration service."""
 
     def __init__(self, seed: int, loss: float = 0) -> None:
-        """Start at time 0 without a process."""
+        """Create a network without processes, at time 0."""
         self.random = Random(seed)
         self.loss = loss
-        #: Share of messages that come a second time, and late.
+        #: Ratio of messages that are delivered a second time, later.
         self.doubled = 0.0  # noqa: WPS358
         self.now = 0.0  # noqa: WPS358
-        self.calls: list[tuple[float, int, Callable[[], None]]] = []
-        self.numbers = count()
+        self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
+        self.call_ids = count()
         self.processes: dict[Address, Process] = {}
         self.values: dict[str, bytes] = {}
         self.away = False
         self.reads = 0
-        #: Pairs that cannot reach each other.
+        #: Pairs of processes that cannot reach each other.
         self.cut: set[frozenset[Address]] = set()
-        #: Told of every event of a process, in golden sessions.
+        #: Recorders of the events and effects of a process, by its control
+        #: address; used by golden tests.
         self.recorders: dict[Address, Any] = {}
-        #: Changed by experiments: whether a message arrives.
+        #: Decides whether a message is lost; experiments may replace it.
         self.is_lost: Callable[[], bool] = self._is_lost
 
     def add(
@@ -113,9 +114,9 @@
         control: Address,
         zone: str,
         seeds: tuple[Address, ...] = (),
-        names: DocumentNames = _NAMES,
+        names: DocumentNames = _DOCUMENT_NAMES,
     ) -> Process:
-        """Start a process."""
+        """Add a process and start its timer."""
         identity = DisseminationIdentity(control, zone, seeds, names)
         random = Random(self.random.getrandbits(32))
         checkers = make_checkers(identity.names)
@@ -128,18 +129,18 @@
         return process
 
     def kill(self, control: Address) -> None:
-        """End a process without notice."""
+        """Remove a process without a graceful stop."""
         self.processes.pop(control)
 
     def put(self, key: str, value: dict[str, Any]) -> None:
-        """Publish a document; watches of all readers return."""
+        """Publish a document and complete the watches of all readers."""
         self.values[key] = msgspec.json.encode(value)
         for control, process in self.processes.items():
             if process.state.reading and key in process.state.held:
                 self._read(control, process, key)
 
     def switch_service(self, away: bool) -> None:
-        """Take the service away, or bring it back."""
+        """Make the configuration service unavailable or available again."""
         self.away = away
         if not away:
             for control, process in self.processes.items():
@@ -147,36 +148,41 @@
                     self._read_all(control, process)
 
     def pause(self, control: Address) -> None:
-        """Stop a process without ending it."""
+        """Suspend a process; its events are queued."""
         self.processes[control].paused = True
 
     def wake(self, control: Address) -> None:
-        """Let a paused process go on; what came meanwhile comes at once."""
+        """Resume a paused process and dispatch its queued events at once."""
         process = self.processes[control]
         process.paused = False
-        waiting = process.waiting
-        process.waiting = []
-        for event in waiting:
+        queued_events = process.queued_events
+        process.queued_events = []
+        for event in queued_events:
             self._dispatch(control, event._replace(now=self.now))
 
     def run(self, seconds: float) -> None:
-        """Advance the clock."""
-        until = self.now + seconds
-        while self.calls and self.calls[0][0] <= until:
-            now, _, call = heapq.heappop(self.calls)
+        """Advance the clock and run the calls that are due."""
+        end = self.now + seconds
+        while self.scheduled_calls and self.scheduled_calls[0][0] <= end:
+            now, _, call = heapq.heappop(self.scheduled_calls)
             self.now = now
             call()
-        self.now = until
+        self.now = end
 
-    def run_until(self, done: Callable[[], bool], longest: float) -> float:
-        """Advance until something holds; return the seconds it took."""
+    def run_until(
+        self, is_done: Callable[[], bool], max_seconds: float
+    ) -> float:
+        """Advance until a condition holds; return the elapsed seconds.
+
+        Stop after ``max_seconds`` if it does not hold by then.
+        """
         started = self.now
-        while not done() and self.now - started < longest:
+        while not is_done() and self.now - started < max_seconds:
             self.run(0.01)
         return self.now - started
 
     def count_behind(self, revision: int) -> int:
-        """Return how many processes have an earlier table in force."""
+        """Return how many processes have an earlier table revision in force."""
         return sum(
             process.get_revision() < revision
             for process in self.processes.values()
@@ -190,10 +196,10 @@
     ) -> None:
         entry = (
             self.now + seconds,
-            next(self.numbers),
+            next(self.call_ids),
             lambda: call(*arguments),
         )
-        heapq.heappush(self.calls, entry)
+        heapq.heappush(self.scheduled_calls, entry)
 
     def _tick(self, control: Address) -> None:
         process = self.processes.get(control)
@@ -208,21 +214,21 @@
         if process is None:
             return
         if process.paused:
-            process.waiting.append(event)
+            process.queued_events.append(event)
         else:
             self._dispatch(control, event._replace(now=self.now))
 
     def _dispatch(self, control: Address, event: DisseminationEvent) -> None:
         process = self.processes[control]
-        state, emitted = reduce(process.state, event)
+        state, effects = reduce(process.state, event)
         process.state = state
         recorder = self.recorders.get(control)
         if recorder is not None:
-            recorder.record(str(control), event, emitted)
-        for effect in emitted:
-            self._carry_out(control, process, effect)
+            recorder.record(str(control), event, effects)
+        for effect in effects:
+            self._execute(control, process, effect)
 
-    def _carry_out(
+    def _execute(
         self,
         control: Address,
         process: Process,
@@ -232,12 +238,14 @@
             self._send(control, process, effect)
         elif isinstance(effect, PutInForce):
             version = effect.document.version
-            entry = InForce(self.now, effect.key, *version)
+            entry = AppliedVersion(self.now, effect.key, *version)
             process.in_force.append(entry)
         elif isinstance(effect, Read) and effect.wanted:
-            process.watch += 1
+            process.watch_id += 1
             self._read_all(control, process)
-            self._call_later(_WAIT, self._renew, control, process.watch)
+            self._call_later(
+                _WATCH_SECONDS, self._renew_watch, control, process.watch_id
+            )
 
     def _send(
         self,
@@ -251,20 +259,26 @@
         if pair in self.cut or self.is_lost():
             return
         event = MessageReceived(self.now, control, effect.message)
-        delay = _DELAY * self.random.uniform(0.5, 1.5)
+        delay = _ZONE_DELAY_SECONDS * self.random.uniform(0.5, 1.5)
         self._call_later(delay, self._deliver, effect.receiver, event)
         if self.doubled and self.random.random() < self.doubled:
-            late = self.random.uniform(0, _LATEST)
-            self._call_later(late, self._deliver, effect.receiver, event)
+            duplicate_delay = self.random.uniform(
+                0, _MAX_DUPLICATE_DELAY_SECONDS
+            )
+            self._call_later(
+                duplicate_delay, self._deliver, effect.receiver, event
+            )
 
     def _is_lost(self) -> bool:
         return self.random.random() < self.loss
 
-    def _renew(self, control: Address, watch: int) -> None:
+    def _renew_watch(self, control: Address, watch_id: int) -> None:
         process = self.processes.get(control)
-        if process and process.state.reading and process.watch == watch:
+        if process and process.state.reading and process.watch_id == watch_id:
             self.reads += len(self.values)
-            self._call_later(_WAIT, self._renew, control, watch)
+            self._call_later(
+                _WATCH_SECONDS, self._renew_watch, control, watch_id
+            )
 
     def _read_all(self, control: Address, process: Process) -> None:
         for key in sorted(self.values.keys() & process.state.held.keys()):
@@ -274,11 +288,11 @@
         self.reads += 1
         if not self.away:
             event = DocumentRead(self.now, key, self.values[key])
-            self._call_later(_READ_DELAY, self._deliver, control, event)
+            self._call_later(_READ_DELAY_SECONDS, self._deliver, control, event)
 
 
 def make_table_document(revision: int, **changes: Any) -> dict[str, Any]:
-    """Return a small valid table of a revision."""
+    """Return a small valid table; ``changes`` replace top-level keys."""
     return {
         'revision': revision,
         'services': [{'name': 'board', 'number': 1, 'port': 4430}],
@@ -295,11 +309,11 @@
 
 
 def make_instances(
-    net: GossipNet,
+    network: GossipNet,
     revision: int,
     leaving: tuple[Address, ...] = (),
 ) -> dict[str, Any]:
-    """Return the platform's list of the processes that run."""
+    """Return the platform's instance list of all running processes."""
     return {
         'revision': revision,
         'instances': [
@@ -312,7 +326,7 @@
                 'availability_zone': process.state.identity.availability_zone,
                 'state': 'leaving' if control in leaving else 'live',
             }
-            for control, process in net.processes.items()
+            for control, process in network.processes.items()
         ],
     }
 
@@ -323,14 +337,17 @@
     zones: int = 3,
     loss: float = 0,
 ) -> GossipNet:
-    """Return a net whose processes all have table revision 1 in force."""
-    net = GossipNet(seed)
+    """Return a network whose processes all have table revision 1 in force.
+
+    Messages are lost only after that.
+    """
+    network = GossipNet(seed)
     for index in range(processes):
         control = Address(f'10.0.{index // 250}.{index % 250 + 1}', 7002)
-        net.add(control, f'zone-{index % zones}')
-    net.put(TABLE_KEY, make_table_document(1))
-    net.put(INSTANCES_KEY, make_instances(net, 1))
-    net.run_until(lambda: not net.count_behind(1), 30)
-    net.run(5)
-    net.loss = loss
-    return net
+        network.add(control, f'zone-{index % zones}')
+    network.put(TABLE_KEY, make_table_document(1))
+    network.put(INSTANCES_KEY, make_instances(network, 1))
+    network.run_until(lambda: not network.count_behind(1), 30)
+    network.run(5)
+    network.loss = loss
+    return network
