--- a/packages/keelgap-standins/src/keelgap_standins/caller.py
+++ b/packages/keelgap-standins/src/keelgap_standins/caller.py
@@ -1,4 +1,4 @@
-"""Stand-in of a caller: an HTTP/3 client with retries for keyed requests."""
+"""HTTP/3 client that plays a caller in tests and the demo."""
 
 import asyncio
 import socket
@@ -35,32 +35,35 @@
 
 TICKET_PATH: Final = '/.well-known/keelgap/ticket'
 NO_HEADERS: Final = MappingProxyType[str, str]({})
-_WINDOW: Final = 131072
+_MAX_UNSENT_OCTETS: Final = 131072
 
 
 class RequestRejected(Exception):
-    """The request was not processed; it is safe to send it again."""
+    """The server did not process the request; a retry is safe."""
 
 
 class _CallerHttp(H3Connection):
-    """HTTP/3 that remembers the stream id of a GOAWAY (RFC 9114, 5.2)."""
+    """HTTP/3 connection that stores the stream ID of a GOAWAY frame.
+
+    See RFC 9114, section 5.2.
+    """
 
     def __init__(self, quic: QuicConnection) -> None:
         super().__init__(quic)
-        self.goaway: int | None = None
+        self.goaway_stream_id: int | None = None
 
     def _handle_control_frame(self, frame_type: int, frame_data: bytes) -> None:
         super()._handle_control_frame(frame_type, frame_data)
         if frame_type == FrameType.GOAWAY:
-            self.goaway = Buffer(data=frame_data).pull_uint_var()
+            self.goaway_stream_id = Buffer(data=frame_data).pull_uint_var()
 
 
 class FlowBroken(Exception):
-    """The flow ended before the answer was whole."""
+    """The flow ended before the response was complete."""
 
 
 class CallerAnswer(NamedTuple):
-    """What a caller got."""
+    """Status, headers and body of a complete response."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -68,34 +71,34 @@
 
     @property
     def service(self) -> str:
-        """Return the service that answered."""
+        """Return the service that sent the response."""
         return self.headers.get(b'x-service', b'').decode()
 
 
-class _Pending:
-    """An answer that is being received."""
+class _PendingResponse:
+    """A response of which parts may still be missing."""
 
     def __init__(self) -> None:
         self.headers: dict[bytes, bytes] = {}
-        self.parts: deque[bytes] = deque()
+        self.chunks: deque[bytes] = deque()
         self.done: asyncio.Future[None] = (
             asyncio.get_running_loop().create_future()
         )
 
 
 class Caller(QuicConnectionProtocol):
-    """One connection of a caller."""
+    """Client side of one HTTP/3 connection."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
-        """Start before the handshake."""
+        """Create the client; HTTP/3 starts when ALPN has completed."""
         super().__init__(*args, **kwargs)
         self.http: _CallerHttp | None = None
-        self.pending: dict[int, _Pending] = {}
+        self.pending: dict[int, _PendingResponse] = {}
         self.authority = 'localhost'
-        #: Whether an agent that lost the flow said so.
+        #: Whether a stateless reset arrived.
         self.was_reset = False
-        #: Why the connection ended, if it did.
-        self.end: ConnectionTerminated | None = None
+        #: Event that terminated the connection, if any.
+        self.termination: ConnectionTerminated | None = None
 
     async def request(
         self,
@@ -104,10 +107,10 @@
         body: bytes = b'',
         headers: Mapping[str, str] = NO_HEADERS,
     ) -> CallerAnswer:
-        """Send a request with a whole body and return the whole answer."""
-        stream_id = self.send_head(method, path, not body, headers)
+        """Send a request and return its response."""
+        stream_id = self.send_request_headers(method, path, not body, headers)
         if body:
-            self.send_body(stream_id, body, ended=True)
+            self.send_body(stream_id, body, end_stream=True)
         return await self.receive(stream_id)
 
     async def upload(
@@ -116,73 +119,85 @@
         size: int,
         pause: float = 0,
     ) -> CallerAnswer:
-        """Send a long body piece by piece and return the answer."""
-        stream_id = self.send_head('POST', path, False)
-        piece = bytes(_WINDOW // 2)
+        """Upload a body in chunks and return the response.
+
+        The client sleeps for ``pause`` seconds after each chunk.
+        """
+        stream_id = self.send_request_headers('POST', path, False)
+        chunk = bytes(_MAX_UNSENT_OCTETS // 2)
         sent = 0
         while sent < size:
-            count = min(len(piece), size - sent)
-            self.send_body(stream_id, piece[:count], ended=False)
+            count = min(len(chunk), size - sent)
+            self.send_body(stream_id, chunk[:count], end_stream=False)
             sent += count
-            await self.make_room(stream_id)
+            await self.wait_for_send_buffer(stream_id)
             await asyncio.sleep(pause)
-        self.send_body(stream_id, b'', ended=True)
+        self.send_body(stream_id, b'', end_stream=True)
         return await self.receive(stream_id)
 
-    def send_head(
+    def send_request_headers(
         self,
         method: str,
         path: str,
-        ended: bool,
+        end_stream: bool,
         headers: Mapping[str, str] = NO_HEADERS,
     ) -> int:
-        """Open a request and return its stream."""
+        """Send the headers of a request and return its stream ID."""
         if self.http is None or not self.is_open:
             raise RequestRejected
         stream_id = self._quic.get_next_available_stream_id()
-        self.pending[stream_id] = _Pending()
-        pairs = [
+        self.pending[stream_id] = _PendingResponse()
+        header_pairs = [
             (b':method', method.encode()),
             (b':scheme', b'https'),
             (b':authority', self.authority.encode()),
             (b':path', path.encode()),
-            *((name.encode(), text.encode()) for name, text in headers.items()),
+            *(
+                (name.encode(), header_value.encode())
+                for name, header_value in headers.items()
+            ),
         ]
-        self.http.send_headers(stream_id, pairs, ended)
+        self.http.send_headers(stream_id, header_pairs, end_stream)
         self.transmit()
         return stream_id
 
-    def send_body(self, stream_id: int, part: bytes, *, ended: bool) -> None:
-        """Send a part of a body."""
-        if self.end is not None or self.http is None:
-            raise FlowBroken(self.end)
-        self.http.send_data(stream_id, part, ended)
+    def send_body(
+        self, stream_id: int, chunk: bytes, *, end_stream: bool
+    ) -> None:
+        """Send a chunk of a request body."""
+        if self.termination is not None or self.http is None:
+            raise FlowBroken(self.termination)
+        self.http.send_data(stream_id, chunk, end_stream)
         self.transmit()
 
-    async def make_room(self, stream_id: int) -> None:
-        """Wait until little of a body is unsent."""
-        while self.end is None:
+    async def wait_for_send_buffer(self, stream_id: int) -> None:
+        """Wait until the send buffer is below its limit or the flow ends."""
+        while self.termination is None:
             stream = self._quic._streams.get(stream_id)  # noqa: WPS437
             if stream is None:
                 return
             sender = stream.sender
             unsent = sender._buffer_stop - sender._buffer_start  # noqa: WPS437
-            if unsent < _WINDOW:
+            if unsent < _MAX_UNSENT_OCTETS:
                 return
             await asyncio.sleep(0.002)
 
     async def receive(self, stream_id: int) -> CallerAnswer:
-        """Return the whole answer, or raise FlowBroken."""
+        """Return the complete response.
+
+        Raise FlowBroken if the flow ends first, or RequestRejected if the
+        server did not process the request.
+        """
         pending = self.pending[stream_id]
         try:
             await pending.done
         finally:
             self.pending.pop(stream_id, None)
         status = int(pending.headers.get(b':status', b'0'))
-        return CallerAnswer(status, pending.headers, b''.join(pending.parts))
+        return CallerAnswer(status, pending.headers, b''.join(pending.chunks))
 
     async def ping_until_reset(self, seconds: float = 5) -> None:
-        """Send pings until the other side says that it lost the flow."""
+        """Send PING frames until a stateless reset arrives."""
         async with asyncio.timeout(seconds):
             while not self.was_reset:
                 self._quic.send_ping(1)
@@ -191,34 +206,35 @@
 
     @property
     def port(self) -> int:
-        """Return the port that the caller sends from."""
+        """Return the local UDP port."""
         assert self._transport is not None
-        number: int = self._transport.get_extra_info('sockname')[1]
-        return number
+        port: int = self._transport.get_extra_info('sockname')[1]
+        return port
 
     async def move(self) -> None:
-        """Go on from another port, as after a change of a NAT."""
+        """Continue from another local port, as after a NAT rebinding."""
         loop = asyncio.get_running_loop()
-        old = self._transport
-        assert old is not None
-        family = old.get_extra_info('socket').family
+        old_transport = self._transport
+        assert old_transport is not None
+        family = old_transport.get_extra_info('socket').family
         host = '::' if family is socket.AF_INET6 else '127.0.0.1'
         await loop.create_datagram_endpoint(
             lambda: self,
             local_addr=(host, 0),
             family=family,
         )
-        old.abort()
+        old_transport.abort()
 
     async def get_ticket(self, headers: Mapping[str, str] = NO_HEADERS) -> str:
-        """Return a ticket for requests that must run at most once."""
-        answer = await self.request('GET', TICKET_PATH, headers=headers)
-        return answer.body.decode()
+        """Fetch a ticket for at-most-once requests."""
+        response = await self.request('GET', TICKET_PATH, headers=headers)
+        return response.body.decode()
 
     def datagram_received(self, data: Any, addr: Any) -> None:
-        """Notice a stateless reset, which aioquic does not look for.
+        """Detect a stateless reset, which aioquic does not handle.
 
-        RFC 9000, section 10.3.1: it ends with the token of the id in use.
+        The datagram ends with the stateless reset token of the connection ID
+        in use (RFC 9000, section 10.3.1).
         """
         peer = self._quic._peer_cid  # noqa: WPS437
         token = peer.stateless_reset_token
@@ -226,40 +242,46 @@
             self.was_reset = True
             self._quic.close()
             for stream_id in self.pending:
-                self._fail(stream_id, rejected=False)
+                self._fail_request(stream_id, rejected=False)
         super().datagram_received(data, addr)
 
     def quic_event_received(self, event: QuicEvent) -> None:
-        """Take what the connection received."""
+        """Handle an event of the QUIC connection."""
         if isinstance(event, ProtocolNegotiated):
             self.http = _CallerHttp(self._quic)
         elif isinstance(event, ConnectionTerminated):
-            self.end = event
+            self.termination = event
             for stream_id in self.pending:
-                self._fail(stream_id, rejected=self._is_beyond(stream_id))
+                self._fail_request(
+                    stream_id, rejected=self._is_rejected_by_goaway(stream_id)
+                )
         elif isinstance(event, StreamReset):
             rejected = event.error_code == ErrorCode.H3_REQUEST_REJECTED
-            self._fail(event.stream_id, rejected=rejected)
+            self._fail_request(event.stream_id, rejected=rejected)
         elif self.http is not None:
             for http_event in self.http.handle_event(event):
-                self._take(http_event)
+                self._handle_http_event(http_event)
 
     @property
     def is_open(self) -> bool:
-        """Return whether the caller may open another request."""
-        return self.end is None and not (self.http and self.http.goaway)
+        """Return whether another request may be sent on the connection."""
+        return self.termination is None and not (
+            self.http and self.http.goaway_stream_id
+        )
 
-    def _is_beyond(self, stream_id: int) -> bool:
-        goaway = self.http.goaway if self.http else None
-        return goaway is not None and stream_id >= goaway
+    def _is_rejected_by_goaway(self, stream_id: int) -> bool:
+        goaway_stream_id = self.http.goaway_stream_id if self.http else None
+        return goaway_stream_id is not None and stream_id >= goaway_stream_id
 
-    def _fail(self, stream_id: int, *, rejected: bool) -> None:
+    def _fail_request(self, stream_id: int, *, rejected: bool) -> None:
         pending = self.pending.get(stream_id)
         if pending is not None and not pending.done.done():
-            error = RequestRejected() if rejected else FlowBroken(self.end)
+            error = (
+                RequestRejected() if rejected else FlowBroken(self.termination)
+            )
             pending.done.set_exception(error)
 
-    def _take(self, event: H3Event) -> None:
+    def _handle_http_event(self, event: H3Event) -> None:
         if not isinstance(event, HeadersReceived | DataReceived):
             return
         pending = self.pending.get(event.stream_id)
@@ -268,7 +290,7 @@
         if isinstance(event, HeadersReceived):
             pending.headers.update(dict(event.headers))
         else:
-            pending.parts.append(event.data)
+            pending.chunks.append(event.data)
         if event.stream_ended and not pending.done.done():
             pending.done.set_result(None)
 
@@ -279,9 +301,9 @@
     idle_seconds: float = 10.0,
     alpn_protocols: tuple[str, ...] = ('h3',),
 ) -> AsyncIterator[Caller]:
-    """Open a connection to a service's public address.
+    """Connect to the public address of a service.
 
-    A long list of protocols makes a ClientHello of two datagrams, as a
+    A long ``alpn_protocols`` makes the ClientHello span two datagrams, as a
     post-quantum key share does.
     """
     configuration = QuicConfiguration(
--- a/packages/keelgap-standins/src/keelgap_standins/load.py
+++ b/packages/keelgap-standins/src/keelgap_standins/load.py
@@ -1,4 +1,4 @@
-"""Callers under load, and a tally of what they were told."""
+"""Load generators, and counters of the responses that they receive."""
 
 import asyncio
 from collections import Counter
@@ -20,158 +20,164 @@
 
 __all__ = ('Tally', 'run_feed', 'run_short_requests', 'run_upload')
 
-_OK: Final = 200
-_ATTEMPTS: Final = 6
-_REQUESTS_A_FLOW: Final = 8
-_KEYED_SHARE: Final = 0.4
-_UNKNOWN: Final = ('outcome-unknown', 'outcome-pending', 'upstream-failed')
+_STATUS_OK: Final = 200
+_MAX_ATTEMPTS: Final = 6
+_REQUESTS_PER_FLOW: Final = 8
+_KEYED_REQUEST_RATIO: Final = 0.4
+_UNKNOWN_OUTCOMES: Final = (
+    'outcome-unknown',
+    'outcome-pending',
+    'upstream-failed',
+)
 
 
 class Tally:
-    """What callers saw, counted."""
+    """Counters of flows, requests and their outcomes."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Create counters at zero."""
         self.counts: Counter[str] = Counter()
         self.reasons: Counter[str] = Counter()
 
-    def note_broken(self, reason: object) -> None:
-        """Count a flow that ended before its answer was whole."""
+    def record_broken_flow(self, reason: object) -> None:
+        """Count a flow that ended before its response was complete."""
         self.counts['broken_flows'] += 1
         self.reasons[f'broken: {reason!r}'] += 1
 
-    def note_answer(self, service: str, answer: CallerAnswer) -> None:
-        """Count an answer by what it says."""
-        if answer.status == _OK:
-            whole = answer.service == service
-            self.counts['answered_whole' if whole else 'misrouted'] += 1
+    def record_response(self, service: str, response: CallerAnswer) -> None:
+        """Count a response by its status, service and type of problem."""
+        if response.status == _STATUS_OK:
+            is_from_service = response.service == service
+            self.counts[
+                'answered_whole' if is_from_service else 'misrouted'
+            ] += 1
             return
-        problem = msgspec.json.decode(answer.body)
+        problem = msgspec.json.decode(response.body)
         self.reasons[problem['reason']] += 1
         kind = problem['type'].rpartition('/')[2]
-        name = 'unknown' if kind in _UNKNOWN else 'refused_not_run'
+        name = 'unknown' if kind in _UNKNOWN_OUTCOMES else 'refused_not_run'
         self.counts[name] += 1
 
 
-async def _try_until_processed(
-    tally: Tally,
-    act: Callable[[], Awaitable[None]],
+async def _retry_rejected(
+    statistics: Tally,
+    send_request: Callable[[], Awaitable[None]],
 ) -> None:
-    """Repeat what an upstream rejected before it processed it."""
-    for _ in range(_ATTEMPTS):
+    """Send a request until it is not rejected as unprocessed."""
+    for _ in range(_MAX_ATTEMPTS):
         try:
-            await act()
+            await send_request()
         except RequestRejected:
-            tally.counts['rejected_and_retried'] += 1
+            statistics.counts['rejected_and_retried'] += 1
         except (FlowBroken, ConnectionError, TimeoutError) as error:
-            tally.note_broken(error)
+            statistics.record_broken_flow(error)
             return
         else:
             return
-    tally.note_broken('rejected too often')
+    statistics.record_broken_flow('rejected too often')
 
 
 async def run_short_requests(
     site: Site,
     service: str,
-    tally: Tally,
+    statistics: Tally,
     random: Random,
     stop: asyncio.Event,
 ) -> None:
-    """Open flows one after the other, with some requests on each."""
+    """Open flows one after the other and send some requests on each."""
     while not stop.is_set():
         async with AsyncExitStack() as stack:
-            caller = await _open(site, service, tally, stack)
+            caller = await _open_flow(site, service, statistics, stack)
             if caller is None:
                 continue
-            for _ in range(_REQUESTS_A_FLOW):
+            for _ in range(_REQUESTS_PER_FLOW):
                 if not caller.is_open or stop.is_set():
                     break
-                await _request_once(caller, service, tally, random)
+                await _send_random_request(caller, service, statistics, random)
                 await asyncio.sleep(random.uniform(0.01, 0.05))
 
 
-async def _open(
+async def _open_flow(
     site: Site,
     service: str,
-    tally: Tally,
+    statistics: Tally,
     stack: AsyncExitStack,
 ) -> Caller | None:
-    tally.counts['flows'] += 1
+    statistics.counts['flows'] += 1
     try:
         return await stack.enter_async_context(
             open_caller(site.public(service)),
         )
     except (ConnectionError, TimeoutError) as error:
-        tally.note_broken(error)
+        statistics.record_broken_flow(error)
         return None
 
 
-async def _request_once(
+async def _send_random_request(
     caller: Caller,
     service: str,
-    tally: Tally,
+    statistics: Tally,
     random: Random,
 ) -> None:
-    async def act() -> None:
-        work = f'work={random.uniform(0.005, 0.02):.4f}'
-        if service == 'board' and random.random() < _KEYED_SHARE:
+    async def send_request() -> None:
+        work_query = f'work={random.uniform(0.005, 0.02):.4f}'
+        if service == 'board' and random.random() < _KEYED_REQUEST_RATIO:
             ticket = await caller.get_ticket()
             key = f'{ticket}.{random.getrandbits(32):x}'
             headers = {'idempotency-key': key}
-            path = f'/runs?{work}'
-            answer = await caller.request('POST', path, b'run', headers)
+            path = f'/runs?{work_query}'
+            response = await caller.request('POST', path, b'run', headers)
         else:
-            answer = await caller.request('GET', f'/page?{work}')
-        tally.note_answer(service, answer)
+            response = await caller.request('GET', f'/page?{work_query}')
+        statistics.record_response(service, response)
 
-    tally.counts['requests'] += 1
+    statistics.counts['requests'] += 1
     try:
-        await act()
+        await send_request()
     except RequestRejected:
-        # The flow is being closed; the next flow asks again.
-        tally.counts['requests'] -= 1
-        tally.counts['rejected_and_retried'] += 1
+        # The server is closing the flow; the next flow sends another request.
+        statistics.counts['requests'] -= 1
+        statistics.counts['rejected_and_retried'] += 1
     except FlowBroken as error:
-        tally.note_broken(error)
+        statistics.record_broken_flow(error)
 
 
 async def run_feed(
     site: Site,
-    tally: Tally,
+    statistics: Tally,
     events: int,
     pause: float,
 ) -> None:
-    """Follow a live feed to its end."""
+    """Read a live feed to its end."""
 
-    async def act() -> None:
-        tally.counts['flows'] += 1
+    async def send_request() -> None:
+        statistics.counts['flows'] += 1
         async with open_caller(site.public('board')) as caller:
             path = f'/feed?count={events}&pause={pause}'
-            answer = await caller.request('GET', path)
-        tally.note_answer('board', answer)
-        if answer.body.count(b'\n') != events:
-            tally.note_broken('feed cut short')
+            response = await caller.request('GET', path)
+        statistics.record_response('board', response)
+        if response.body.count(b'\n') != events:
+            statistics.record_broken_flow('feed cut short')
 
-    tally.counts['requests'] += 1
-    await _try_until_processed(tally, act)
+    statistics.counts['requests'] += 1
+    await _retry_rejected(statistics, send_request)
 
 
 async def run_upload(
     site: Site,
-    tally: Tally,
+    statistics: Tally,
     size: int,
     pause: float,
 ) -> None:
-    """Upload a long proof piece by piece."""
+    """Upload a long proof in chunks."""
 
-    async def act() -> None:
-        tally.counts['flows'] += 1
+    async def send_request() -> None:
+        statistics.counts['flows'] += 1
         async with open_caller(site.public('proof')) as caller:
-            answer = await caller.upload('/upload', size, pause)
-        tally.note_answer('proof', answer)
-        if answer.body != f'proof upload {size}'.encode():
-            tally.note_broken('upload cut short')
+            response = await caller.upload('/upload', size, pause)
+        statistics.record_response('proof', response)
+        if response.body != f'proof upload {size}'.encode():
+            statistics.record_broken_flow('upload cut short')
 
-    tally.counts['requests'] += 1
-    await _try_until_processed(tally, act)
+    statistics.counts['requests'] += 1
+    await _retry_rejected(statistics, send_request)
