--- a/packages/keelgap-standins/src/keelgap_standins/__init__.py
+++ b/packages/keelgap-standins/src/keelgap_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform, the callers and the upstreams."""
+"""Simulated platform, callers and upstreams for tests and the demo."""
--- a/packages/keelgap-standins/src/keelgap_standins/demo.py
+++ b/packages/keelgap-standins/src/keelgap_standins/demo.py
@@ -1,8 +1,9 @@
-"""The demo: a whole site on loopback, changed while callers use it.
+"""Demo of planned changes under load, with a whole site on loopback.
 
-Three balancers, four agents, two services.  While short requests, a long
-upload and a long feed run, the table is edited, a balancer is replaced and an
-upstream is replaced.  Nothing may break.
+The site has three balancers, four agents and two services.  While short
+requests, a long upload and a long feed run, the demo edits the table, replaces
+a balancer and replaces an upstream.  No flow may break, and no request may be
+misrouted, run twice or end with an unknown outcome.
 """
 
 import asyncio
@@ -27,14 +28,14 @@
 
 __all__ = ('DemoReport', 'run_demo')
 
-_CALLERS_A_SERVICE: Final = 4
+_CALLERS_PER_SERVICE: Final = 4
 _FEED_EVENTS: Final = 120
-_FEED_PAUSE: Final = 0.1
+_FEED_PAUSE_SECONDS: Final = 0.1
 _UPLOAD_OCTETS: Final = 4000000
-_UPLOAD_PAUSE: Final = 0.1
+_UPLOAD_PAUSE_SECONDS: Final = 0.1
 _STEP_SECONDS: Final = 1.0
-_LONGEST_SPREAD: Final = 10.0
-_LONGEST_DEMO: Final = 55.0
+_MAX_PROPAGATION_SECONDS: Final = 10.0
+_MAX_DEMO_SECONDS: Final = 55.0
 
 _BOARD: Final = ServiceSpec(
     'board',
@@ -56,7 +57,7 @@
 
 
 class DemoReport(TypedDict):
-    """What the demo measured."""
+    """Measurements of one run; the field names are the keys of the JSON."""
 
     requests: int
     answered_whole: int
@@ -66,52 +67,55 @@
     flows: int
     broken_flows: int
     misrouted: int
-    #: Largest load of an upstream divided by the mean of its service.
+    #: Maximum load of an upstream divided by the mean of its service; the
+    #: largest of all services.
     imbalance: float
     table_seconds_to_everywhere: float
     rejected_and_retried: int
     reasons: dict[str, int]
 
 
-class _Spread:
-    """How long each edit took until it was in force everywhere."""
+class _PropagationTimer:
+    """Measures how long edits take until they are in force everywhere."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
-        self.longest = 0.0  # noqa: WPS358
+        self.max_seconds = 0.0  # noqa: WPS358
         self.loop = asyncio.get_running_loop()
 
     async def wait(self) -> None:
-        """Wait until the newest revision is in force in every process."""
+        """Wait until the latest revision is in force in every process."""
         started = self.loop.time()
         revision = self.site.revision
-        async with asyncio.timeout(_LONGEST_SPREAD):
+        async with asyncio.timeout(_MAX_PROPAGATION_SECONDS):
             while min(self.site.get_revisions()) < revision:
                 await asyncio.sleep(0.01)
-        self.longest = max(self.longest, self.loop.time() - started)
+        self.max_seconds = max(self.max_seconds, self.loop.time() - started)
 
 
 async def run_demo(seed: int) -> DemoReport:
     """Run the demo and return its report."""
     random = Random(seed)  # noqa: S311
-    tally = Tally()
+    statistics = Tally()
     async with AsyncExitStack() as stack:
         site = Site((_BOARD, _PROOF), random, stack)
         await site.start(3, 2)
-        spread = _Spread(site)
-        await spread.wait()
-        spread.longest = 0
-        async with _callers(site, tally, random):
-            await _replace_balancer(site, spread)
-            await _replace_upstream(site, spread)
-        return _make_report(site, tally, spread)
-
-
-def _make_report(site: Site, tally: Tally, spread: _Spread) -> DemoReport:
+        propagation = _PropagationTimer(site)
+        await propagation.wait()
+        propagation.max_seconds = 0
+        async with _run_callers(site, statistics, random):
+            await _replace_balancer(site, propagation)
+            await _replace_upstream(site, propagation)
+        return _make_report(site, statistics, propagation)
+
+
+def _make_report(
+    site: Site, statistics: Tally, propagation: _PropagationTimer
+) -> DemoReport:
     runs: Counter[str] = Counter()
     for upstream in site.list_upstreams():
         runs.update(upstream.runs)
-    counts = tally.counts
+    counts = statistics.counts
     return DemoReport(
         requests=counts['requests'],
         answered_whole=counts['answered_whole'],
@@ -122,29 +126,35 @@
         broken_flows=counts['broken_flows'],
         misrouted=counts['misrouted'],
         imbalance=round(_compute_imbalance(site), 3),
-        table_seconds_to_everywhere=round(spread.longest, 3),
+        table_seconds_to_everywhere=round(propagation.max_seconds, 3),
         rejected_and_retried=counts['rejected_and_retried'],
-        reasons=dict(tally.reasons),
+        reasons=dict(statistics.reasons),
     )
 
 
 @asynccontextmanager
-async def _callers(
+async def _run_callers(
     site: Site,
-    tally: Tally,
+    statistics: Tally,
     random: Random,
 ) -> AsyncIterator[None]:
-    """Run all callers; wait for the long ones at the end."""
+    """Run all callers around the body of the ``async with`` statement.
+
+    On exit, the callers of short requests stop, and the feed and the upload
+    run to their end.
+    """
     stop = asyncio.Event()
     async with asyncio.TaskGroup() as group:
-        group.create_task(run_feed(site, tally, _FEED_EVENTS, _FEED_PAUSE))
         group.create_task(
-            run_upload(site, tally, _UPLOAD_OCTETS, _UPLOAD_PAUSE),
+            run_feed(site, statistics, _FEED_EVENTS, _FEED_PAUSE_SECONDS)
+        )
+        group.create_task(
+            run_upload(site, statistics, _UPLOAD_OCTETS, _UPLOAD_PAUSE_SECONDS),
         )
         for service in ('board', 'proof'):
-            for _ in range(_CALLERS_A_SERVICE):
+            for _ in range(_CALLERS_PER_SERVICE):
                 group.create_task(
-                    run_short_requests(site, service, tally, random, stop),
+                    run_short_requests(site, service, statistics, random, stop),
                 )
         await asyncio.sleep(_STEP_SECONDS)
         yield
@@ -152,33 +162,33 @@
         stop.set()
 
 
-async def _publish(site: Site, spread: _Spread) -> None:
+async def _publish_table(site: Site, propagation: _PropagationTimer) -> None:
     site.publish()
-    await spread.wait()
+    await propagation.wait()
 
 
-async def _replace_balancer(site: Site, spread: _Spread) -> None:
-    """Edit a weight, then replace a balancer under load."""
+async def _replace_balancer(site: Site, propagation: _PropagationTimer) -> None:
+    """Edit a weight, then replace a balancer while callers run."""
     site.rows['board-1']['weight'] = 2
-    await _publish(site, spread)
+    await _publish_table(site, propagation)
     await site.replace_balancer('balancer-1', 'balancer-4')
     await asyncio.sleep(_STEP_SECONDS)
 
 
-async def _replace_upstream(site: Site, spread: _Spread) -> None:
-    """Add an upstream, then drain and retire another under load."""
+async def _replace_upstream(site: Site, propagation: _PropagationTimer) -> None:
+    """Add an upstream, then drain and retire another while callers run."""
     await site.start_agent('board-3', _BOARD)
-    await _publish(site, spread)
+    await _publish_table(site, propagation)
     site.rows['board-2']['state'] = 'draining'
-    await _publish(site, spread)
+    await _publish_table(site, propagation)
     await site.retire_agent('board-2')
     await asyncio.sleep(_STEP_SECONDS)
     site.rows['board-1']['weight'] = 1
-    await _publish(site, spread)
+    await _publish_table(site, propagation)
 
 
 def _compute_imbalance(site: Site) -> float:
-    """Return max/mean of the load of upstreams, the worst of all services."""
+    """Return the maximum of max/mean upstream load over all services."""
     by_service: dict[str, list[float]] = {}
     for agent in site.agents.values():
         loads = by_service.setdefault(agent.service, [])
@@ -189,14 +199,14 @@
     )
 
 
-def _describe(report: DemoReport) -> str:
+def _format_report(report: DemoReport) -> str:
     width = max(map(len, report))
     lines = [f'{name:<{width}}  {value}' for name, value in report.items()]
-    verdict = 'nothing broke' if _is_whole(report) else 'SOMETHING BROKE'
+    verdict = 'nothing broke' if _is_successful(report) else 'SOMETHING BROKE'
     return '\n'.join(('keelgap demo', *lines, verdict))
 
 
-def _is_whole(report: DemoReport) -> bool:
+def _is_successful(report: DemoReport) -> bool:
     return not (
         report['broken_flows']
         or report['misrouted']
@@ -206,14 +216,14 @@
 
 
 def main(*, json: bool = False, seed: int = 1) -> None:
-    """Run the demo; exit 0 only if nothing broke."""
+    """Run the demo; exit with status 0 only if nothing broke."""
     logger.disable('keelgap')
-    report = asyncio.run(asyncio.wait_for(run_demo(seed), _LONGEST_DEMO))
+    report = asyncio.run(asyncio.wait_for(run_demo(seed), _MAX_DEMO_SECONDS))
     if json:
         print(msgspec.json.encode(report).decode())  # noqa: WPS421
     else:
-        print(_describe(report))  # noqa: WPS421
-    sys.exit(0 if _is_whole(report) else 1)
+        print(_format_report(report))  # noqa: WPS421
+    sys.exit(0 if _is_successful(report) else 1)
 
 
 if __name__ == '__main__':
--- a/packages/keelgap-standins/src/keelgap_standins/fabric.py
+++ b/packages/keelgap-standins/src/keelgap_standins/fabric.py
@@ -1,4 +1,4 @@
-"""Stand-in of the fabric: hands each datagram to a random balancer."""
+"""Simulated network fabric: sends each datagram to a random balancer."""
 
 import asyncio
 import socket
@@ -12,8 +12,8 @@
 __all__ = ('Fabric',)
 
 
-class _CallerPort:
-    """The address under which balancers see one caller."""
+class _CallerSocket:
+    """Socket that represents one caller towards the balancers."""
 
     def __init__(self, sock: socket.socket, caller: tuple[str, int]) -> None:
         self.sock = sock
@@ -21,26 +21,31 @@
 
 
 class Fabric:
-    """Spray callers' datagrams over balancers and bring answers back."""
+    """Spray datagrams of callers over balancers and return the replies."""
 
     def __init__(self, host: str, random: Random, stack: ExitStack) -> None:
-        """Use addresses of one host; the stack closes all sockets."""
+        """Create the fabric; the stack closes its sockets.
+
+        All its sockets are bound to ``host``.
+        """
         self.host = host
         self.random = random
         self.stack = stack
         self.loop = asyncio.get_running_loop()
-        #: Hosts of the balancers that get datagrams.
+        #: Hosts of the balancers that receive datagrams.
         self.balancers: list[str] = []
-        self.callers: dict[tuple[int, tuple[str, int]], _CallerPort] = {}
+        self.caller_sockets: dict[
+            tuple[int, tuple[str, int]], _CallerSocket
+        ] = {}
 
     def open_service(self, port: int) -> Address:
         """Listen on the public address of a service."""
         address = Address(self.host, port)
         sock = bind_datagram('fabric', address)
-        self._read(sock, self._make_caller_reader(port, sock))
+        self._register_reader(sock, self._make_caller_reader(port, sock))
         return address
 
-    def _read(
+    def _register_reader(
         self,
         sock: socket.socket,
         on_datagram: Callable[[bytes, tuple[str, int]], None],
@@ -52,31 +57,33 @@
     def _make_caller_reader(
         self,
         port: int,
-        public: socket.socket,
+        public_socket: socket.socket,
     ) -> Callable[[bytes, tuple[str, int]], None]:
         def spray(datagram: bytes, caller: tuple[str, int]) -> None:
             if self.balancers:
                 balancer = self.random.choice(self.balancers)
-                caller_port = self._get_port(port, caller, public)
-                send_datagram(caller_port.sock, datagram, (balancer, port))
+                caller_socket = self._get_caller_socket(
+                    port, caller, public_socket
+                )
+                send_datagram(caller_socket.sock, datagram, (balancer, port))
 
         return spray
 
-    def _get_port(
+    def _get_caller_socket(
         self,
         port: int,
         caller: tuple[str, int],
-        public: socket.socket,
-    ) -> _CallerPort:
-        known = self.callers.get((port, caller))
+        public_socket: socket.socket,
+    ) -> _CallerSocket:
+        known = self.caller_sockets.get((port, caller))
         if known is not None:
             return known
         sock = bind_datagram('fabric', Address(self.host, 0))
 
-        def bring_back(datagram: bytes, balancer: tuple[str, int]) -> None:
-            send_datagram(public, datagram, caller)
+        def return_datagram(datagram: bytes, balancer: tuple[str, int]) -> None:
+            send_datagram(public_socket, datagram, caller)
 
-        self._read(sock, bring_back)
-        caller_port = _CallerPort(sock, caller)
-        self.callers[port, caller] = caller_port
-        return caller_port
+        self._register_reader(sock, return_datagram)
+        caller_socket = _CallerSocket(sock, caller)
+        self.caller_sockets[port, caller] = caller_socket
+        return caller_socket
--- a/packages/keelgap-standins/src/keelgap_standins/site.py
+++ b/packages/keelgap-standins/src/keelgap_standins/site.py
@@ -1,4 +1,4 @@
-"""A whole small site in one process: platform, fabric, keelgap, upstreams."""
+"""A small site in one process: platform, fabric, keelgap and upstreams."""
 
 import os
 import socket
@@ -44,7 +44,7 @@
 
 
 class ServiceSpec(NamedTuple):
-    """A service of the site and its traffic classes."""
+    """A service of the site, its traffic classes and its upstreams' limits."""
 
     name: str
     classes: tuple[dict[str, Any], ...] = ()
@@ -53,7 +53,7 @@
 
 
 class RunningBalancer(NamedTuple):
-    """A balancer and what closes it."""
+    """A balancer and the exit stack that closes it."""
 
     name: str
     server: BalancerServer
@@ -61,7 +61,7 @@
 
 
 class RunningAgent(NamedTuple):
-    """An agent, its upstream and what closes them."""
+    """An agent, its upstream and the exit stack that closes both."""
 
     name: str
     service: str
@@ -71,7 +71,7 @@
 
 
 class Site:
-    """Start and stop the parts of a site; publish its table and its list."""
+    """Start and stop the processes of a site; publish table and instances."""
 
     def __init__(
         self,
@@ -79,10 +79,10 @@
         random: Random,
         stack: AsyncExitStack,
     ) -> None:
-        """Prepare addresses, keys and documents; nothing is bound yet."""
+        """Prepare addresses, keys and a certificate; bind no socket yet."""
         self.services = services
         self.stack = stack
-        self.prefix = _choose_prefix()
+        self.prefix = _choose_free_prefix()
         self.directory = Path(
             stack.enter_context(tempfile.TemporaryDirectory()),
         )
@@ -99,29 +99,32 @@
         self.rows: dict[str, dict[str, Any]] = {}
         self.balancers: dict[str, RunningBalancer] = {}
         self.agents: dict[str, RunningAgent] = {}
-        #: Agents that have left, for what their upstreams counted.
+        #: Agents that have left, kept for the counters of their upstreams.
         self.retired: list[RunningAgent] = []
-        self.listed: dict[str, dict[str, Any]] = {}
-        self.next_host = 10
+        self.instance_rows: dict[str, dict[str, Any]] = {}
+        self.last_host_number = 10
 
     def host(self, number: int) -> str:
-        """Return a loopback address that only this site uses."""
+        """Return a loopback address of the site's own network."""
         return f'{self.prefix}.{number}'
 
-    def service_port(self, service: str) -> int:
+    def get_service_port(self, service: str) -> int:
         """Return the public port of a service."""
         names = [spec.name for spec in self.services]
         return _FIRST_SERVICE_PORT + names.index(service)
 
     def public(self, service: str) -> Address:
         """Return the address that callers of a service use."""
-        return Address(self.host(1), self.service_port(service))
+        return Address(self.host(1), self.get_service_port(service))
 
     async def start(self, balancers: int, agents: int) -> None:
-        """Start the platform, balancers, and agents for each service."""
+        """Start the platform, all balancers, and the agents of each service.
+
+        ``agents`` is the number per service.
+        """
         await self.config.start(Address(self.host(2), _CONFIG_PORT), self.stack)
         for spec in self.services:
-            self.fabric.open_service(self.service_port(spec.name))
+            self.fabric.open_service(self.get_service_port(spec.name))
         for index in range(balancers):
             await self.start_balancer(f'balancer-{index + 1}')
         for spec in self.services:
@@ -131,8 +134,8 @@
         self.publish_instances()
 
     async def start_balancer(self, name: str) -> RunningBalancer:
-        """Start a balancer and give it a share of the fabric's datagrams."""
-        host = self._take_host()
+        """Start a balancer and add it to the fabric and the instance list."""
+        host = self._allocate_host()
         settings = BalancerSettings(
             self._make_instance(name, host),
             self._make_listen(),
@@ -145,13 +148,16 @@
         await server.start(stack)
         running = RunningBalancer(name, server, stack)
         self.balancers[name] = running
-        self._list(name, 'balancer', host)
+        self._add_instance(name, 'balancer', host)
         self.fabric.balancers.append(host)
         return running
 
     async def start_agent(self, name: str, spec: ServiceSpec) -> RunningAgent:
-        """Start an upstream and its agent, and put them in the table."""
-        host = self._take_host()
+        """Start an upstream and its agent; add them to table and instances.
+
+        The new row takes effect with the next publish_table().
+        """
+        host = self._allocate_host()
         stack = await self.stack.enter_async_context(AsyncExitStack())
         upstream = Upstream(spec.name, name)
         await upstream.start(Address(host, _UPSTREAM_PORT), stack)
@@ -166,11 +172,11 @@
             'slots': spec.slots,
             'connections': spec.connections,
         }
-        self._list(name, 'agent', host)
+        self._add_instance(name, 'agent', host)
         return running
 
     async def replace_balancer(self, name: str, successor: str) -> None:
-        """Start a successor, then have a balancer leave in a planned way."""
+        """Start a successor, then stop a balancer gracefully."""
         await self.start_balancer(successor)
         self.mark_leaving(name)
         leaving = self.balancers.pop(name)
@@ -178,21 +184,24 @@
         self.fabric.balancers.remove(host)
         await leaving.server.drain()
         await leaving.stack.aclose()
-        self.unlist(name)
+        self.remove_instance(name)
 
     async def kill_balancer(self, name: str) -> None:
-        """End a balancer without notice; the fabric notices at once."""
+        """Stop a balancer abruptly; the fabric sends it nothing more."""
         dead = self.balancers.pop(name)
         await dead.stack.aclose()
         host = dead.server.settings.instance.address
         self.fabric.balancers.remove(host)
 
     async def kill_agent(self, name: str) -> None:
-        """End an agent without notice; row and list stay as they are."""
+        """Stop an agent and its upstream abruptly.
+
+        The table and the instance list still contain the agent.
+        """
         await self.agents[name].stack.aclose()
 
     async def restart_agent(self, name: str) -> None:
-        """Start a killed agent again at the same address."""
+        """Restart a killed agent and its upstream at the same address."""
         dead = self.agents[name]
         stack = await self.stack.enter_async_context(AsyncExitStack())
         host = dead.server.settings.instance.address
@@ -202,7 +211,7 @@
         self.agents[name] = dead._replace(server=server, stack=stack)
 
     async def retire_agent(self, name: str) -> None:
-        """Drain an upstream by the table; its process ends after its flows."""
+        """Drain an upstream by the table, and stop it once its flows end."""
         self.rows[name]['state'] = 'draining'
         self.publish()
         self.mark_leaving(name)
@@ -212,10 +221,10 @@
         await leaving.stack.aclose()
         self.rows.pop(name)
         self.publish()
-        self.unlist(name)
+        self.remove_instance(name)
 
     def publish(self) -> None:
-        """Publish the table with a higher revision."""
+        """Publish the table under the next revision."""
         self.revision += 1
         document = {
             'revision': self.revision,
@@ -223,7 +232,7 @@
                 {
                     'name': spec.name,
                     'number': index + 1,
-                    'port': self.service_port(spec.name),
+                    'port': self.get_service_port(spec.name),
                 }
                 for index, spec in enumerate(self.services)
             ],
@@ -237,48 +246,48 @@
         self.config.put('table', msgspec.json.encode(document))
 
     def publish_instances(self) -> None:
-        """Publish the list of instances, as the platform does."""
+        """Publish the instance list, as the platform does."""
         self.instances_revision += 1
         document = {
             'revision': self.instances_revision,
-            'instances': list(self.listed.values()),
+            'instances': list(self.instance_rows.values()),
         }
         self.config.put('instances', msgspec.json.encode(document))
 
     def mark_leaving(self, name: str) -> None:
-        """Show an instance as leaving in the platform's list."""
-        self.listed[name]['state'] = 'leaving'
+        """Mark an instance as leaving and publish the instance list."""
+        self.instance_rows[name]['state'] = 'leaving'
         self.publish_instances()
 
-    def unlist(self, name: str) -> None:
-        """Take an instance off the platform's list."""
-        self.listed.pop(name)
+    def remove_instance(self, name: str) -> None:
+        """Remove an instance and publish the instance list."""
+        self.instance_rows.pop(name)
         self.publish_instances()
 
     def list_upstreams(self) -> list[Upstream]:
-        """Return all upstreams, also those that have left."""
+        """Return all upstreams, including those that have left."""
         running = [*self.agents.values(), *self.retired]
-        return [one.upstream for one in running]
+        return [agent.upstream for agent in running]
 
     def get_revisions(self) -> set[int]:
         """Return the table revisions in force in all processes."""
         balancers = {
-            one.server.driver.state.table.revision
-            for one in self.balancers.values()
+            balancer.server.driver.state.table.revision
+            for balancer in self.balancers.values()
         }
         agents = {
-            one.server.driver.state.table.revision
-            for one in self.agents.values()
+            agent.server.driver.state.table.revision
+            for agent in self.agents.values()
         }
         return balancers | agents
 
-    def _take_host(self) -> str:
-        self.next_host += 1
-        return self.host(self.next_host)
+    def _allocate_host(self) -> str:
+        self.last_host_number += 1
+        return self.host(self.last_host_number)
 
-    def _list(self, name: str, role: str, host: str) -> None:
-        zone = _ZONES[len(self.listed) % len(_ZONES)]
-        self.listed[name] = {
+    def _add_instance(self, name: str, role: str, host: str) -> None:
+        zone = _ZONES[len(self.instance_rows) % len(_ZONES)]
+        self.instance_rows[name] = {
             'name': name,
             'role': role,
             'address': host,
@@ -290,7 +299,7 @@
             self.publish_instances()
 
     def _make_instance(self, name: str, host: str) -> InstanceSettings:
-        zone = _ZONES[len(self.listed) % len(_ZONES)]
+        zone = _ZONES[len(self.instance_rows) % len(_ZONES)]
         return InstanceSettings(name, host, zone)
 
     def _make_listen(self) -> ListenSettings:
@@ -329,8 +338,8 @@
         )
 
 
-def _choose_prefix() -> str:
-    """Return a loopback network on which nothing listens yet."""
+def _choose_free_prefix() -> str:
+    """Return the first three octets of an unused loopback network."""
     random = Random(os.getpid())
     while True:
         prefix = f'127.{random.randint(1, 254)}.{random.randint(0, 254)}'
