--- a/packages/keelgap-standins/src/keelgap_standins/caller.py
+++ b/packages/keelgap-standins/src/keelgap_standins/caller.py
@@ -95,7 +95,7 @@
         self.http: _CallerHttp | None = None
         self.pending: dict[int, _PendingResponse] = {}
         self.authority = 'localhost'
-        #: Whether a stateless reset arrived.
+        #: Whether a stateless reset arrived: an agent has lost the flow.
         self.was_reset = False
         #: Event that terminated the connection, if any.
         self.termination: ConnectionTerminated | None = None
--- a/packages/keelgap-standins/src/keelgap_standins/gossip.py
+++ b/packages/keelgap-standins/src/keelgap_standins/gossip.py
@@ -46,8 +46,8 @@
     'start_net',
 )
 
-_DOCUMENT_NAMES: Final = DocumentNames()
-TABLE_KEY, INSTANCES_KEY = _DOCUMENT_NAMES
+_DOCUMENT_KEYS: Final = DocumentNames()
+TABLE_KEY, INSTANCES_KEY = _DOCUMENT_KEYS
 #: Mean one-way delay of a message, as between availability zones.
 _ZONE_DELAY_SECONDS: Final = 0.0015
 #: Maximum delay of the second copy of a duplicated message.
@@ -114,7 +114,7 @@
         control: Address,
         zone: str,
         seeds: tuple[Address, ...] = (),
-        names: DocumentNames = _DOCUMENT_NAMES,
+        names: DocumentNames = _DOCUMENT_KEYS,
     ) -> Process:
         """Add a process and start its timer."""
         identity = DisseminationIdentity(control, zone, seeds, names)
