--- a/experiments/slopes.py
+++ b/experiments/slopes.py
@@ -319,7 +319,7 @@
         ledger.admit(key, float(serial))
         body = f'{serial:0100}'.encode()
         answer = StoredAnswer(200, ((b'content-type', b'text/plain'),), body)
-        ledger.finish(key, EntryState.ANSWERED, answer)
+        ledger.record_outcome(key, EntryState.ANSWERED, answer)
     return ledger
 
 
--- a/packages/keelgap-agent/src/keelgap_agent/conf.py
+++ b/packages/keelgap-agent/src/keelgap_agent/conf.py
@@ -37,7 +37,7 @@
 
     #: Capacity of the ledger.  New work is refused before an unexpired entry
     #: is evicted.
-    ledger_entries: int = defaults.LEDGER_ENTRIES
+    ledger_entries: int = defaults.MAX_LEDGER_ENTRIES
     #: Idle timeout of a flow in seconds.
     idle_seconds: float = 60.0
 
--- a/packages/keelgap-agent/src/keelgap_agent/defaults.py
+++ b/packages/keelgap-agent/src/keelgap_agent/defaults.py
@@ -3,27 +3,27 @@
 from typing import Final
 
 __all__ = (
-    'ANSWER_KEPT_OCTETS',
+    'MAX_STORED_ANSWER_OCTETS',
     'ASK_RETRY_SECONDS',
     'ASK_TIMEOUT_SECONDS',
     'BACKOFF_BASE_SECONDS',
     'BACKOFF_MAX_SECONDS',
     'BODY_WAIT_SECONDS',
-    'BUDGET_CAP',
-    'BUDGET_SHARE',
-    'GOAWAY_SECONDS',
-    'HANDOVER_MEMORY_SECONDS',
+    'MAX_HANDOVER_BUDGET',
+    'HANDOVER_BUDGET_RATIO',
+    'GOAWAY_GRACE_SECONDS',
+    'HANDOVER_TTL_SECONDS',
     'HANDSHAKES_BEFORE_RETRY',
-    'INITIAL_SERVICE_SECONDS',
-    'LEDGER_ENTRIES',
+    'INITIAL_SERVICE_TIME_SECONDS',
+    'MAX_LEDGER_ENTRIES',
     'LEDGER_RETENTION_SECONDS',
     'LINGER_SECONDS',
-    'PORTABLE_OCTETS',
+    'MAX_PORTABLE_BODY_OCTETS',
     'SERVICE_TIME_SMOOTHING',
-    'TICKET_SECONDS',
+    'TICKET_LIFETIME_SECONDS',
     'TIMER_SECONDS',
     'UPSTREAM_DOWN_SECONDS',
-    'UPSTREAM_FAILURES',
+    'MAX_UPSTREAM_FAILURES',
 )
 
 #: Period of the timer that the driver feeds to the reducer.
@@ -31,12 +31,12 @@
 
 #: How long idle flows stay open after GOAWAY, so that requests already in
 #: flight are rejected as not processed instead of being lost.
-GOAWAY_SECONDS: Final = 1.0
+GOAWAY_GRACE_SECONDS: Final = 1.0
 
 #: How long the agent remembers to which agent it handed a handshake over; a
 #: handshake that takes longer has been abandoned by its caller (RFC 9000 idles
 #: at 30 s).
-HANDOVER_MEMORY_SECONDS: Final = 10.0
+HANDOVER_TTL_SECONDS: Final = 10.0
 
 #: Handshakes in progress from which on new callers must validate their
 #: address with a Retry.
@@ -44,7 +44,7 @@
 
 #: Lifetime of a ticket.  Callers fetch one ticket per connection, so it must
 #: cover the time from the first request to the last retry of that request.
-TICKET_SECONDS: Final = 600
+TICKET_LIFETIME_SECONDS: Final = 600
 
 #: Ledger entries are kept for this time after their ticket expires, so that a
 #: late retry still gets the stored answer.
@@ -52,13 +52,13 @@
 
 #: Capacity of the ledger: 120 entries per second for ten minutes, with
 #: headroom.
-LEDGER_ENTRIES: Final = 100000
+MAX_LEDGER_ENTRIES: Final = 100000
 
 #: Largest response body that the ledger stores.
-ANSWER_KEPT_OCTETS: Final = 16384
+MAX_STORED_ANSWER_OCTETS: Final = 16384
 
 #: Largest request body that may be passed on to another agent.
-PORTABLE_OCTETS: Final = 65536
+MAX_PORTABLE_BODY_OCTETS: Final = 65536
 
 #: How long admission waits for a body of unknown length, so that a short one
 #: can be passed on to another agent.
@@ -72,11 +72,11 @@
 ASK_TIMEOUT_SECONDS: Final = 15.0
 
 #: Ratio of first attempts that may be passed on to another agent.
-BUDGET_SHARE: Final = 0.2
+HANDOVER_BUDGET_RATIO: Final = 0.2
 
 #: Upper bound on the handover budget that accumulates while few requests are
 #: passed on.
-BUDGET_CAP: Final = 20.0
+MAX_HANDOVER_BUDGET: Final = 20.0
 
 #: Initial retry delay that refused callers are given.
 BACKOFF_BASE_SECONDS: Final = 0.25
@@ -85,13 +85,13 @@
 BACKOFF_MAX_SECONDS: Final = 8.0
 
 #: Estimated service time until the first request has completed.
-INITIAL_SERVICE_SECONDS: Final = 0.05
+INITIAL_SERVICE_TIME_SECONDS: Final = 0.05
 
 #: Weight of the latest sample in the moving average of the service time.
 SERVICE_TIME_SMOOTHING: Final = 0.1
 
 #: Consecutive connection failures after which the upstream counts as down.
-UPSTREAM_FAILURES: Final = 3
+MAX_UPSTREAM_FAILURES: Final = 3
 
 #: How long an upstream that is down gets no new requests before it is tried
 #: again.
--- a/packages/keelgap-agent/src/keelgap_agent/drain.py
+++ b/packages/keelgap-agent/src/keelgap_agent/drain.py
@@ -16,20 +16,20 @@
     UpstreamStateRead,
 )
 from keelgap_agent.requests.admission import admit
-from keelgap_agent.state import AgentState, LeaveCause
+from keelgap_agent.state import AgentState, LeaveReason
 
 __all__ = (
-    'change_instances',
-    'change_table',
+    'handle_instances_change',
+    'handle_table_change',
     'check_exit',
-    'read_upstream_state',
-    'request_stop',
+    'handle_upstream_state',
+    'handle_stop',
 )
 
 Effects = tuple[AgentEffect, ...]
 
 
-def change_table(state: AgentState, event: TableChanged) -> Effects:
+def handle_table_change(state: AgentState, event: TableChanged) -> Effects:
     """Apply a table, unless it is not newer than the current one."""
     if event.table.version <= state.table.version:
         return ()
@@ -44,10 +44,12 @@
             state.row = next(own, None)
     row = state.row
     draining = row is not None and row.state == 'draining'
-    return _update_leave_reason(state, LeaveCause.TABLE, draining, event.now)
+    return _update_leave_reason(state, LeaveReason.TABLE, draining, event.now)
 
 
-def change_instances(state: AgentState, event: InstancesChanged) -> Effects:
+def handle_instances_change(
+    state: AgentState, event: InstancesChanged
+) -> Effects:
     """Apply an instance list, which may report this agent as leaving."""
     if event.instances.revision <= state.instances.revision:
         return ()
@@ -55,44 +57,44 @@
     leaving = event.instances.select_data('agent', 'leaving')
     listed_as_leaving = state.identity.data in leaving
     return _update_leave_reason(
-        state, LeaveCause.LIST, listed_as_leaving, event.now
+        state, LeaveReason.INSTANCE_LIST, listed_as_leaving, event.now
     )
 
 
-def read_upstream_state(
+def handle_upstream_state(
     state: AgentState,
     event: UpstreamStateRead,
 ) -> Effects:
     """Start or end the drain according to the upstream's own state."""
-    reason = LeaveCause.UPSTREAM
+    reason = LeaveReason.UPSTREAM
     return _update_leave_reason(state, reason, event.draining, event.now)
 
 
-def request_stop(state: AgentState, event: StopRequested) -> Effects:
+def handle_stop(state: AgentState, event: StopRequested) -> Effects:
     """Start the drain that ends with the exit of this process."""
-    return _update_leave_reason(state, LeaveCause.SIGNAL, True, event.now)
+    return _update_leave_reason(state, LeaveReason.SIGNAL, True, event.now)
 
 
 def _update_leave_reason(
     state: AgentState,
-    reason: LeaveCause,
+    reason: LeaveReason,
     applies: bool,
     now: float,
 ) -> Effects:
     if applies:
-        state.leave_causes.add(reason)
+        state.leave_reasons.add(reason)
     else:
-        state.leave_causes.discard(reason)
+        state.leave_reasons.discard(reason)
     return _announce_leaving(state, now)
 
 
 def _announce_leaving(state: AgentState, now: float) -> Effects:
     if not state.is_leaving:
-        state.announced_at = None
+        state.goaway_sent_at = None
         return ()
-    if state.announced_at is not None:
+    if state.goaway_sent_at is not None:
         return ()
-    state.announced_at = now
+    state.goaway_sent_at = now
     # Other agents may have capacity for the queued requests: admit each one
     # again, which passes it on or refuses it.
     queued = state.queue
@@ -105,7 +107,7 @@
 
 def check_exit(state: AgentState, now: float) -> Effects:
     """Exit once a stopping agent is idle and late retries had their time."""
-    stopping = LeaveCause.SIGNAL in state.leave_causes
+    stopping = LeaveReason.SIGNAL in state.leave_reasons
     if not stopping or state.flows or state.requests:
         state.idle_since = None
         return ()
--- a/packages/keelgap-agent/src/keelgap_agent/driver.py
+++ b/packages/keelgap-agent/src/keelgap_agent/driver.py
@@ -13,7 +13,7 @@
 from keelgap_agent.flows.flow_effects import FlowEffects
 from keelgap_agent.ports import AgentPorts
 from keelgap_agent.quic.connections import CallerConnection, ConnectionHooks
-from keelgap_agent.quic.flow_table import Offer
+from keelgap_agent.quic.flow_table import FlowOffer
 from keelgap_agent.quic.streams import CallerStream
 from keelgap_agent.reducer import reduce
 from keelgap_agent.requests.peer_requests import (
@@ -22,9 +22,9 @@
     read_problem,
 )
 from keelgap_agent.requests.request_effects import RequestEffects
-from keelgap_agent.state import AgentState, LeaveCause
+from keelgap_agent.state import AgentState, LeaveReason
 
-__all__ = ('AgentDriver', 'count_requests')
+__all__ = ('AgentDriver', 'generate_request_ids')
 
 
 #: Bits of a request id below the incarnation.  Incarnations are start times in
@@ -32,7 +32,7 @@
 _REQUEST_BITS: Final = 20
 
 
-def count_requests(incarnation: int) -> Iterator[int]:
+def generate_request_ids(incarnation: int) -> Iterator[int]:
     """Return request ids that no earlier incarnation has used.
 
     Peers refer to requests by id, and an answer to an earlier incarnation
@@ -52,7 +52,7 @@
         self.exited = asyncio.Event()
         self.flow_effects = FlowEffects(self)
         self.request_effects = RequestEffects(self)
-        self.request_ids = count_requests(state.identity.incarnation)
+        self.request_ids = generate_request_ids(state.identity.incarnation)
         self.connection_hooks = ConnectionHooks(
             self._handle_request,
             self._handle_cancelled,
@@ -76,9 +76,9 @@
         while True:
             await asyncio.sleep(TIMER_SECONDS)
             self.dispatch(events.TimerFired(self.loop.time()))
-            self.ports.flows.return_path.forget_old(self.loop.time())
+            self.ports.flows.return_path.forget_silent(self.loop.time())
 
-    def handle_offer(self, offer: Offer) -> None:
+    def handle_offer(self, offer: FlowOffer) -> None:
         """Dispatch the offer of a new flow."""
         self.flow_effects.offer = offer
         envelope = offer.envelope
@@ -127,10 +127,10 @@
             ),
         )
 
-    def note_upstream_state(self, draining: bool) -> None:
+    def handle_upstream_state(self, draining: bool) -> None:
         """Dispatch a change of the upstream's own draining state."""
         now = self.loop.time()
-        was_draining = LeaveCause.UPSTREAM in self.state.leave_causes
+        was_draining = LeaveReason.UPSTREAM in self.state.leave_reasons
         if draining != was_draining:
             self.dispatch(events.UpstreamStateRead(now, draining))
 
@@ -162,13 +162,13 @@
             events.RequestArrived(
                 self.loop.time(),
                 stream.request_id,
-                stream.port.flow_id,
+                stream.transport.flow_id,
                 stream.head,
             ),
         )
 
     def _handle_cancelled(self, stream: CallerStream) -> None:
-        if stream.announced:
+        if stream.submitted:
             now = self.loop.time()
             self.dispatch(events.RequestCancelled(now, stream.request_id))
             if stream.request_id not in self.request_effects.runs:
--- a/packages/keelgap-agent/src/keelgap_agent/flows/choice.py
+++ b/packages/keelgap-agent/src/keelgap_agent/flows/choice.py
@@ -19,11 +19,11 @@
 
 __all__ = (
     'accepts_service',
-    'close_flow',
-    'end_idle_flows',
-    'forget_handovers',
-    'offer_flow',
-    'open_flow',
+    'handle_flow_closed',
+    'close_idle_flows',
+    'expire_handovers',
+    'handle_flow_offer',
+    'handle_flow_opened',
 )
 
 Effects = tuple[AgentEffect, ...]
@@ -32,7 +32,7 @@
 _NO_FREE_SLOT: Final = 'flows_passed_on_busy'
 
 
-def offer_flow(state: AgentState, event: FlowOffered) -> Effects:
+def handle_flow_offer(state: AgentState, event: FlowOffered) -> Effects:
     """Accept, hand over or refuse a flow.
 
     The decision uses the agent's own state, since the balancer's view may be
@@ -77,39 +77,42 @@
 def _hand_over(state: AgentState, event: FlowOffered, reason: str) -> Effects:
     turn = event.turn + 1
     agent = event.candidates[turn]
-    expires_at = event.now + defaults.HANDOVER_MEMORY_SECONDS
+    expires_at = event.now + defaults.HANDOVER_TTL_SECONDS
     state.handovers[event.connection_id] = (agent, turn, expires_at)
     return PassFlow(agent, turn), Count(reason)
 
 
-def open_flow(state: AgentState, event: FlowOpened) -> Effects:
+def handle_flow_opened(state: AgentState, event: FlowOpened) -> Effects:
     """Record a flow that was accepted."""
     state.flows[event.flow_id] = 0
     return (Count('flows_opened'),)
 
 
-def close_flow(state: AgentState, event: FlowClosed) -> Effects:
+def handle_flow_closed(state: AgentState, event: FlowClosed) -> Effects:
     """Remove a flow that ended."""
     state.flows.pop(event.flow_id, None)
-    state.ended_flows.discard(event.flow_id)
+    state.closing_flows.discard(event.flow_id)
     return (Count('flows_closed'),)
 
 
-def end_idle_flows(state: AgentState, now: float) -> Effects:
+def close_idle_flows(state: AgentState, now: float) -> Effects:
     """Close the flows of a leaving agent that have no open request.
 
     This waits until callers have had time to receive the GOAWAY.  A request
     in flight when its flow closes would be lost without an answer.
     """
-    announced_at = state.announced_at
-    if announced_at is None or now - announced_at < defaults.GOAWAY_SECONDS:
+    goaway_sent_at = state.goaway_sent_at
+    if (
+        goaway_sent_at is None
+        or now - goaway_sent_at < defaults.GOAWAY_GRACE_SECONDS
+    ):
         return ()
     idle_flow_ids = [
         flow_id
         for flow_id, requests in state.flows.items()
-        if not requests and flow_id not in state.ended_flows
+        if not requests and flow_id not in state.closing_flows
     ]
-    state.ended_flows.update(idle_flow_ids)
+    state.closing_flows.update(idle_flow_ids)
     return tuple(map(EndFlow, idle_flow_ids))
 
 
@@ -122,7 +125,7 @@
     return state.service is not None and state.service.number == number
 
 
-def forget_handovers(state: AgentState, now: float) -> None:
+def expire_handovers(state: AgentState, now: float) -> None:
     """Drop handovers whose handshake must have ended by now."""
     if state.handovers:
         state.handovers = {
--- a/packages/keelgap-agent/src/keelgap_agent/flows/flow_effects.py
+++ b/packages/keelgap-agent/src/keelgap_agent/flows/flow_effects.py
@@ -3,7 +3,7 @@
 from keelgap.wire.encapsulation import MessageKind
 from keelgap_agent import effects, events
 from keelgap_agent.ports import Dispatcher
-from keelgap_agent.quic.flow_table import FlowTable, Offer
+from keelgap_agent.quic.flow_table import FlowOffer, FlowTable
 from keelgap_agent.quic.handshakes import make_refusal
 
 __all__ = ('FlowEffects',)
@@ -16,7 +16,7 @@
         """Use the ports of a driver."""
         self.driver = driver
         #: The offer that admission is deciding about.
-        self.offer: Offer
+        self.offer: FlowOffer
 
     @property
     def flows(self) -> FlowTable:
@@ -27,7 +27,7 @@
         """Open a connection and feed it the first datagram."""
         offer = self.offer
         flows = self.flows
-        connection = flows.take(offer, self.driver.connection_hooks)
+        connection = flows.accept(offer, self.driver.connection_hooks)
         now = self.driver.loop.time()
         self.driver.dispatch(events.FlowOpened(now, connection.flow_id))
         flows.feed(connection, offer.envelope, offer.via)
--- a/packages/keelgap-agent/src/keelgap_agent/quic/bodies.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/bodies.py
@@ -36,7 +36,7 @@
         self.cancelled = not self.ended
         self.changed.set()
 
-    def read_all(self) -> bytes:
+    def get_contents(self) -> bytes:
         """Return the buffered octets without consuming them."""
         return b''.join(self.chunks)
 
--- a/packages/keelgap-agent/src/keelgap_agent/quic/connections.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/connections.py
@@ -15,7 +15,7 @@
 from keelgap.addresses import Address
 from keelgap_agent.defaults import BODY_WAIT_SECONDS
 from keelgap_agent.quic.protocol import AgentQuicConnection, send_goaway
-from keelgap_agent.quic.streams import CallerStream, StreamPort
+from keelgap_agent.quic.streams import CallerStream, StreamTransport
 
 __all__ = ('CallerConnection', 'ConnectionHooks')
 
@@ -55,7 +55,7 @@
         self.via = caller
         #: Set when the handshake has negotiated HTTP/3, before any stream.
         self.http: H3Connection
-        self.port: StreamPort
+        self.transport: StreamTransport
         self.streams: dict[int, CallerStream] = {}
         self.ids: set[bytes] = set()
         self.timer: asyncio.TimerHandle | None = None
@@ -72,7 +72,7 @@
             self._process_quic(event)
             event = self.quic.next_event()
         for stream in tuple(self.streams.values()):
-            stream.announce(self.hooks.on_request)
+            stream.submit(self.hooks.on_request)
 
     def stop_new_requests(self) -> None:
         """Send GOAWAY, which lets open requests finish but allows no more."""
@@ -89,7 +89,7 @@
     def wake_senders(self) -> None:
         """Wake answers that wait for the caller to acknowledge data."""
         for stream in self.streams.values():
-            stream.room.set()
+            stream.writable.set()
 
     def forget(self, stream_id: int) -> None:
         """Remove a stream that is answered, reset or cancelled."""
@@ -114,7 +114,7 @@
 
     def _start_http(self, event: quic_events.ProtocolNegotiated) -> None:
         self.http = H3Connection(self.quic)
-        self.port = StreamPort(
+        self.transport = StreamTransport(
             self.flow_id,
             self.quic,
             self.http,
@@ -157,7 +157,7 @@
             stream = self.streams.get(event.stream_id)
             if stream is None:
                 # No one will consume the data: restore the credit at once.
-                self.quic.take_credit(event.stream_id, len(event.data))
+                self.quic.record_consumed(event.stream_id, len(event.data))
             else:
                 stream.body.feed(event.data, ended=event.stream_ended)
 
@@ -172,7 +172,7 @@
             event.stream_id + _STREAM_ID_STEP,
         )
         stream = CallerStream(
-            self.port,
+            self.transport,
             event.stream_id,
             self.hooks.next_request_id(),
             event.headers,
@@ -192,9 +192,9 @@
             stream.reject()
 
     def _submit_after_wait(self, stream: CallerStream) -> None:
-        stream.waited = True
+        stream.body_wait_expired = True
         if stream.stream_id in self.streams:
-            stream.announce(self.hooks.on_request)
+            stream.submit(self.hooks.on_request)
 
     def _cancel(self, stream_id: int) -> None:
         stream = self.streams.get(stream_id)
--- a/packages/keelgap-agent/src/keelgap_agent/quic/flow_table.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/flow_table.py
@@ -25,10 +25,10 @@
 from keelgap_agent.quic.return_path import ReturnPath
 from keelgap_agent.quic.sender import EnvelopeSender
 
-__all__ = ('FlowHooks', 'FlowTable', 'Offer')
+__all__ = ('FlowHooks', 'FlowTable', 'FlowOffer')
 
 
-class Offer(NamedTuple):
+class FlowOffer(NamedTuple):
     """A first datagram for which admission has to decide."""
 
     envelope: Envelope
@@ -42,7 +42,7 @@
 class FlowHooks(NamedTuple):
     """Callbacks from the flow table to its driver."""
 
-    on_offer: Callable[[Offer], None]
+    on_offer: Callable[[FlowOffer], None]
     accepts_service: Callable[[int], bool]
     on_revision_seen: Callable[[Address, int], None]
 
@@ -82,7 +82,7 @@
         stack.callback(self.loop.remove_reader, sock)
         stack.callback(self._stop_timers)
 
-    def serve(self, service: int) -> None:
+    def set_service(self, service: int) -> None:
         """Set the service number that new connection ids carry."""
         self.owner = self.owner._replace(service=service)
         self.validator.owner = self.owner
@@ -91,7 +91,9 @@
         """Return the number of flows whose handshake is not complete."""
         return len(self.handshaking)
 
-    def take(self, offer: Offer, hooks: ConnectionHooks) -> CallerConnection:
+    def accept(
+        self, offer: FlowOffer, hooks: ConnectionHooks
+    ) -> CallerConnection:
         """Open and return the connection of an accepted offer."""
         envelope = offer.envelope
         quic = AgentQuicConnection(
@@ -137,7 +139,7 @@
     def transmit(self, connection: CallerConnection) -> None:
         """Send the pending datagrams of a connection and reset its timer."""
         now = self.loop.time()
-        via = self.return_path.choose(connection.via, now)
+        via = self.return_path.choose_balancer(connection.via, now)
         for datagram, caller in connection.quic.datagrams_to_send(now):
             self.sender.send_to_caller(via, caller, datagram)
         while connection.quic.issued:
@@ -171,9 +173,9 @@
         if kind is MessageKind.PROBE:
             self.sender.acknowledge(sender)
         elif kind is MessageKind.LEAVING:
-            self.return_path.note_leaving(sender, now)
+            self.return_path.record_leaving(sender, now)
         elif kind is MessageKind.FORWARD:
-            self.return_path.note_heard(sender, now)
+            self.return_path.record_heard(sender, now)
             self._handle_packet(envelope, sender)
         elif kind is MessageKind.HANDOVER:
             self._handle_packet(envelope, envelope.via)
@@ -210,7 +212,7 @@
         if validated:
             now = self.loop.time()
             ids = self.validator.check(header, envelope.caller, now)
-        offer = Offer(envelope, via, header, ids, validated)
+        offer = FlowOffer(envelope, via, header, ids, validated)
         self.hooks.on_offer(offer)
 
     def _send_stateless_reset(
--- a/packages/keelgap-agent/src/keelgap_agent/quic/protocol.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/protocol.py
@@ -64,7 +64,7 @@
         self.host_cid = first.cid
         self._local_initial_source_connection_id = first.cid
 
-    def take_credit(self, stream_id: int, count: int) -> None:
+    def record_consumed(self, stream_id: int, count: int) -> None:
         """Record consumed octets, which raises the caller's flow control."""
         self.consumed += count
         consumed = self.consumed_by_stream.get(stream_id, 0)
--- a/packages/keelgap-agent/src/keelgap_agent/quic/return_path.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/return_path.py
@@ -5,7 +5,7 @@
 
 from keelgap.addresses import Address
 
-__all__ = ('TRY_SECONDS', 'ReturnPath')
+__all__ = ('ROTATION_SECONDS', 'ReturnPath')
 
 #: A balancer that sent something within this time, in seconds, counts as live.
 _LIVE_SECONDS: Final = 1.0
@@ -14,7 +14,7 @@
 #: If no balancer counts as live, each is used in turn for this time, in
 #: seconds.  It is one probe timeout of a connection between availability zones
 #: (RFC 9002, 6.2), so that at least one datagram is sent through each.
-TRY_SECONDS: Final = 0.25
+ROTATION_SECONDS: Final = 0.25
 
 
 class ReturnPath:
@@ -27,19 +27,19 @@
         #: Live balancers according to the instance list, which lags.
         self.listed: tuple[Address, ...] = ()
 
-    def note_heard(self, balancer: Address, now: float) -> None:
+    def record_heard(self, balancer: Address, now: float) -> None:
         """Record that a balancer sent an authentic datagram."""
         self.last_heard_at[balancer] = now
 
-    def note_leaving(self, balancer: Address, now: float) -> None:
+    def record_leaving(self, balancer: Address, now: float) -> None:
         """Record that a balancer asked not to be used anymore."""
         self.leaving_since[balancer] = now
 
-    def note_listed(self, balancers: Collection[Address]) -> None:
+    def record_listed(self, balancers: Collection[Address]) -> None:
         """Record the live balancers of the latest instance list."""
         self.listed = tuple(sorted(balancers))
 
-    def choose(self, last: Address, now: float) -> Address:
+    def choose_balancer(self, last: Address, now: float) -> Address:
         """Return the balancer that last forwarded the flow, or a live one.
 
         The last one is used while it counts as live, otherwise the one that
@@ -62,9 +62,9 @@
         others.sort(key=self._get_last_heard_at, reverse=True)
         if now - self._get_last_heard_at(others[0]) < _LIVE_SECONDS:
             return others[0]
-        return others[int(now / TRY_SECONDS) % len(others)]
+        return others[int(now / ROTATION_SECONDS) % len(others)]
 
-    def forget_old(self, now: float) -> None:
+    def forget_silent(self, now: float) -> None:
         """Remove balancers that have been silent for too long."""
         oldest_kept = now - _RETENTION_SECONDS
         for table in (self.last_heard_at, self.leaving_since):
--- a/packages/keelgap-agent/src/keelgap_agent/quic/streams.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/streams.py
@@ -8,16 +8,16 @@
 from aioquic.h3.connection import ErrorCode, H3Connection
 
 from keelgap.control.messages import HeaderPairs
-from keelgap_agent.defaults import PORTABLE_OCTETS
+from keelgap_agent.defaults import MAX_PORTABLE_BODY_OCTETS
 from keelgap_agent.events import RequestHead
 from keelgap_agent.quic.bodies import BodyBuffer
 from keelgap_agent.quic.protocol import AgentQuicConnection
-from keelgap_agent.requests.exchanges import RequestLines
+from keelgap_agent.requests.exchanges import UpstreamHead
 from keelgap_agent.requests.outcomes import StoredAnswer
 from keelgap_agent.requests.problems import Problem, encode_problem
 from keelgap_agent.requests.tickets import digest_caller
 
-__all__ = ('CallerStream', 'StreamPort')
+__all__ = ('CallerStream', 'StreamTransport')
 
 #: Unacknowledged octets of an answer above which reading from the upstream
 #: pauses.
@@ -25,7 +25,7 @@
 _DEADLINE_HEADER: Final = b'keelgap-deadline'
 
 
-class StreamPort(NamedTuple):
+class StreamTransport(NamedTuple):
     """The part of a connection that its streams use."""
 
     flow_id: int
@@ -42,24 +42,24 @@
 
     def __init__(
         self,
-        port: StreamPort,
+        transport: StreamTransport,
         stream_id: int,
         request_id: int,
         headers: HeaderPairs,
     ) -> None:
         """Parse the head of a request."""
-        self.port = port
+        self.transport = transport
         self.stream_id = stream_id
         self.request_id = request_id
         self.body = BodyBuffer(self._record_consumed)
-        self.announced = False
+        self.submitted = False
         #: Whether BODY_WAIT_SECONDS have passed for a body of unknown length.
-        self.waited = False
+        self.body_wait_expired = False
         self.head_sent = False
         self.closed = False
-        self.room = asyncio.Event()
+        self.writable = asyncio.Event()
         fields = dict(headers)
-        self.lines = RequestLines(
+        self.upstream_head = UpstreamHead(
             fields.get(b':method', b'').decode('latin-1'),
             fields.get(b':path', b'').decode('latin-1'),
             _make_upstream_headers(headers),
@@ -67,8 +67,8 @@
         self.expected_length = _read_number(fields.get(b'content-length'))
         key = fields.get(b'idempotency-key')
         self.head = RequestHead(
-            self.lines.method,
-            self.lines.path,
+            self.upstream_head.method,
+            self.upstream_head.path,
             key.decode('latin-1') if key else None,
             digest_caller(fields.get(b'authorization', b'')),
             _read_number(fields.get(_DEADLINE_HEADER)),
@@ -83,19 +83,24 @@
         on to another agent.  A body of unknown length is awaited for
         BODY_WAIT_SECONDS only.
         """
-        if self.body.ended or self.waited:
+        if self.body.ended or self.body_wait_expired:
             return True
-        return max(self.expected_length or 0, self.body.size) > PORTABLE_OCTETS
+        return (
+            max(self.expected_length or 0, self.body.size)
+            > MAX_PORTABLE_BODY_OCTETS
+        )
 
-    def announce(
+    def submit(
         self,
         on_request: Callable[['CallerStream'], None],
     ) -> None:
         """Submit the request to admission once it is ready."""
-        if self.announced or not self.is_ready:
+        if self.submitted or not self.is_ready:
             return
-        self.announced = True
-        is_portable = self.body.ended and self.body.size <= PORTABLE_OCTETS
+        self.submitted = True
+        is_portable = (
+            self.body.ended and self.body.size <= MAX_PORTABLE_BODY_OCTETS
+        )
         self.head = self.head._replace(portable=is_portable)
         on_request(self)
 
@@ -107,16 +112,16 @@
         """Send a part of the answer; wait while too much is unsent."""
         if self.closed:
             return
-        self.port.http.send_data(self.stream_id, part, end_stream=False)
-        self.port.transmit()
+        self.transport.http.send_data(self.stream_id, part, end_stream=False)
+        self.transport.transmit()
         while not self.closed and self._count_unsent() > _MAX_UNSENT:
-            self.room.clear()
-            await self.room.wait()
+            self.writable.clear()
+            await self.writable.wait()
 
     def send_end(self) -> None:
         """End the answer."""
         if not self.closed:
-            self.port.http.send_data(self.stream_id, b'', end_stream=True)
+            self.transport.http.send_data(self.stream_id, b'', end_stream=True)
             self._close()
 
     def refuse(self, problem: Problem) -> None:
@@ -133,7 +138,7 @@
         """Reset a request after GOAWAY as not processed."""
         self._reset(ErrorCode.H3_REQUEST_REJECTED)
 
-    def answer_whole(self, answer: StoredAnswer) -> None:
+    def send_answer(self, answer: StoredAnswer) -> None:
         """Send a complete answer."""
         if not self.closed:
             headers = list(answer.headers)
@@ -143,12 +148,12 @@
         """Stop the exchange after the caller cancelled it or left."""
         self.closed = True
         self.body.cancel()
-        self.room.set()
+        self.writable.set()
 
     def _answer(self, status: int, headers: HeaderPairs, body: bytes) -> None:
         self._send_headers(status, headers, ended=not body)
         if body:
-            self.port.http.send_data(self.stream_id, body, True)
+            self.transport.http.send_data(self.stream_id, body, True)
         self._close()
 
     def _send_headers(
@@ -162,33 +167,35 @@
             return
         self.head_sent = True
         pairs = [(b':status', str(int(status)).encode()), *headers]
-        self.port.http.send_headers(self.stream_id, pairs, ended)
-        self.port.transmit()
+        self.transport.http.send_headers(self.stream_id, pairs, ended)
+        self.transport.transmit()
 
     def _close(self) -> None:
         self.closed = True
         if not self.body.ended:
             # The rest of the request is not needed (RFC 9114, 4.1).
-            self.port.quic.stop_stream(self.stream_id, ErrorCode.H3_NO_ERROR)
-        self.port.forget(self.stream_id)
-        self.port.transmit()
+            self.transport.quic.stop_stream(
+                self.stream_id, ErrorCode.H3_NO_ERROR
+            )
+        self.transport.forget(self.stream_id)
+        self.transport.transmit()
 
     def _reset(self, error: ErrorCode) -> None:
-        quic = self.port.quic
+        quic = self.transport.quic
         quic.reset_stream(self.stream_id, error)
         if not self.body.ended:
             quic.stop_stream(self.stream_id, error)
         self.closed = True
-        self.port.forget(self.stream_id)
-        self.port.transmit()
+        self.transport.forget(self.stream_id)
+        self.transport.transmit()
 
     def _record_consumed(self, count: int) -> None:
         if not self.closed:
-            self.port.quic.take_credit(self.stream_id, count)
-            self.port.transmit()
+            self.transport.quic.record_consumed(self.stream_id, count)
+            self.transport.transmit()
 
     def _count_unsent(self) -> int:
-        return self.port.quic.count_unsent(self.stream_id)
+        return self.transport.quic.count_unsent(self.stream_id)
 
 
 def _read_number(text: bytes | None) -> float | None:
--- a/packages/keelgap-agent/src/keelgap_agent/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/reducer.py
@@ -9,29 +9,29 @@
 
 from keelgap_agent import events
 from keelgap_agent.drain import (
-    change_instances,
-    change_table,
     check_exit,
-    read_upstream_state,
-    request_stop,
+    handle_instances_change,
+    handle_stop,
+    handle_table_change,
+    handle_upstream_state,
 )
 from keelgap_agent.effects import AgentEffect
 from keelgap_agent.flows.choice import (
-    close_flow,
-    end_idle_flows,
-    forget_handovers,
-    offer_flow,
-    open_flow,
+    close_idle_flows,
+    expire_handovers,
+    handle_flow_closed,
+    handle_flow_offer,
+    handle_flow_opened,
 )
-from keelgap_agent.requests.admission import drop_expired, start_waiting
-from keelgap_agent.requests.keyed import ask_issuers_again
+from keelgap_agent.requests.admission import refuse_expired, start_queued
+from keelgap_agent.requests.keyed import retry_issuer_asks
 from keelgap_agent.requests.lifecycle import (
-    arrive,
-    ask,
-    cancel,
-    finish,
-    give_up_on_peers,
-    take_peer_answer,
+    abandon_silent_peers,
+    handle_arrival,
+    handle_cancellation,
+    handle_peer_answer,
+    handle_peer_ask,
+    record_outcome,
 )
 from keelgap_agent.state import AgentState
 
@@ -49,7 +49,7 @@
 
 
 def _handle_timer(state: AgentState, event: events.TimerFired) -> Effects:
-    forget_handovers(state, event.now)
+    expire_handovers(state, event.now)
     state.ledger.forget_expired(event.now)
     return tuple(
         effect
@@ -60,11 +60,11 @@
 
 #: Handlers that run on every timer event, in this order.
 _TIMER_HANDLERS: Final = (
-    drop_expired,
-    start_waiting,
-    ask_issuers_again,
-    give_up_on_peers,
-    end_idle_flows,
+    refuse_expired,
+    start_queued,
+    retry_issuer_asks,
+    abandon_silent_peers,
+    close_idle_flows,
     check_exit,
 )
 
@@ -72,17 +72,17 @@
     type,
     Callable[[AgentState, Any], Effects],
 ]({
-    events.FlowOffered: offer_flow,
-    events.FlowOpened: open_flow,
-    events.FlowClosed: close_flow,
-    events.RequestArrived: arrive,
-    events.RequestCancelled: cancel,
-    events.RequestFinished: finish,
-    events.PeerAsked: ask,
-    events.PeerAnswered: take_peer_answer,
-    events.UpstreamStateRead: read_upstream_state,
-    events.TableChanged: change_table,
-    events.InstancesChanged: change_instances,
+    events.FlowOffered: handle_flow_offer,
+    events.FlowOpened: handle_flow_opened,
+    events.FlowClosed: handle_flow_closed,
+    events.RequestArrived: handle_arrival,
+    events.RequestCancelled: handle_cancellation,
+    events.RequestFinished: record_outcome,
+    events.PeerAsked: handle_peer_ask,
+    events.PeerAnswered: handle_peer_answer,
+    events.UpstreamStateRead: handle_upstream_state,
+    events.TableChanged: handle_table_change,
+    events.InstancesChanged: handle_instances_change,
     events.TimerFired: _handle_timer,
-    events.StopRequested: request_stop,
+    events.StopRequested: handle_stop,
 })
--- a/packages/keelgap-agent/src/keelgap_agent/requests/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/admission.py
@@ -16,11 +16,11 @@
 
 __all__ = (
     'admit',
-    'drop_expired',
+    'refuse_expired',
     'estimate_wait',
     'pass_to_peer',
-    'release',
-    'start_waiting',
+    'release_slot',
+    'start_queued',
 )
 
 Effects = tuple[AgentEffect, ...]
@@ -63,16 +63,20 @@
     whole service does not double its load.
     """
     may_be_passed_on = request.portable and not request.from_peer
-    if request.moved or not may_be_passed_on or state.budget < 1:
+    if (
+        request.was_passed_on
+        or not may_be_passed_on
+        or state.handover_budget < 1
+    ):
         return ()
     peer = choose_peer(state)
     if peer is None:
         return ()
-    state.budget -= 1
-    request.moved = True
-    request.phase = Phase.PASSED
+    state.handover_budget -= 1
+    request.was_passed_on = True
+    request.phase = Phase.PASSED_ON
     request.asked_at = now
-    state.asked[request.request_id] = request
+    state.awaiting_peer[request.request_id] = request
     remaining = request.deadline_at - now
     ask = AskPeer(request.request_id, peer, True, remaining)
     return ask, Count('requests_passed_on')
@@ -97,7 +101,7 @@
 
 def _get_sort_key(request: Request) -> tuple[int, float, int]:
     priority = request.traffic_class.priority
-    return (priority, request.arrived, request.request_id)
+    return (priority, request.arrived_at, request.request_id)
 
 
 def estimate_wait(state: AgentState, request: Request, now: float) -> float:
@@ -112,30 +116,30 @@
     if request.traffic_class.takes_slot:
         state.busy += 1
     request.phase = Phase.RUNNING
-    request.started = now
-    state.refusals = 0
+    request.started_at = now
+    state.consecutive_refusals = 0
     return (
         StartRequest(request.request_id, request.deadline_at - now),
         Observe(
             'queue_seconds',
             request.traffic_class.name,
-            now - request.arrived,
+            now - request.arrived_at,
         ),
     )
 
 
-def release(state: AgentState, request: Request, now: float) -> None:
+def release_slot(state: AgentState, request: Request, now: float) -> None:
     """Free the slot of a request that ended and record its service time."""
     if request.phase is Phase.RUNNING and request.traffic_class.takes_slot:
         state.busy -= 1
         smoothing = defaults.SERVICE_TIME_SMOOTHING
-        service_time = now - request.started
+        service_time = now - request.started_at
         state.service_seconds += smoothing * (
             service_time - state.service_seconds
         )
 
 
-def start_waiting(state: AgentState, now: float) -> Effects:
+def start_queued(state: AgentState, now: float) -> Effects:
     """Start queued requests in free slots, in order of priority."""
     effects: list[AgentEffect] = []
     slots = state.count_slots(now)
@@ -148,7 +152,7 @@
     return tuple(effects)
 
 
-def drop_expired(state: AgentState, now: float) -> Effects:
+def refuse_expired(state: AgentState, now: float) -> Effects:
     """Refuse queued requests whose deadline has passed."""
     expired = [request for request in state.queue if request.deadline_at <= now]
     effects: list[AgentEffect] = []
--- a/packages/keelgap-agent/src/keelgap_agent/requests/exchanges.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/exchanges.py
@@ -8,10 +8,10 @@
 from keelgap_agent.requests.outcomes import StoredAnswer
 from keelgap_agent.requests.problems import Problem
 
-__all__ = ('Exchange', 'RequestLines')
+__all__ = ('Exchange', 'UpstreamHead')
 
 
-class RequestLines(NamedTuple):
+class UpstreamHead(NamedTuple):
     """The request line and headers that are sent to the upstream."""
 
     method: str
@@ -24,7 +24,7 @@
 
     request_id: int
     head: RequestHead
-    lines: RequestLines
+    upstream_head: UpstreamHead
     body: BodyBuffer
 
     def send_head(self, status: int, headers: HeaderPairs) -> None:
@@ -39,5 +39,5 @@
     def refuse(self, problem: Problem) -> None:
         """Answer with a problem, or abort an answer that was started."""
 
-    def answer_whole(self, answer: StoredAnswer) -> None:
+    def send_answer(self, answer: StoredAnswer) -> None:
         """Send a complete answer."""
--- a/packages/keelgap-agent/src/keelgap_agent/requests/keyed.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/keyed.py
@@ -28,7 +28,7 @@
     Problem,
     ProblemType,
 )
-from keelgap_agent.requests.settling import make_answer, refuse, settle
+from keelgap_agent.requests.settling import complete, make_answer, refuse
 from keelgap_agent.requests.tickets import (
     MalformedKey,
     Ticket,
@@ -37,7 +37,7 @@
 )
 from keelgap_agent.state import AgentState, Phase, Request
 
-__all__ = ('ask_issuers_again', 'issue_ticket', 'settle_keyed')
+__all__ = ('retry_issuer_asks', 'issue_ticket', 'admit_keyed')
 
 Effects = tuple[AgentEffect, ...]
 
@@ -52,21 +52,21 @@
     service = state.service
     if service is None or state.is_leaving or state.ledger.is_full:
         return _refuse_with(state, request, LEDGER_FULL, 'no_ticket')
-    age = int(now - state.identity.started)
+    age = int(now - state.identity.started_at)
     ticket = Ticket(
         state.identity.control,
         state.identity.incarnation,
         service.number,
-        state.ledger.take_serial(),
-        age + defaults.TICKET_SECONDS,
+        state.ledger.allocate_serial(),
+        age + defaults.TICKET_LIFETIME_SECONDS,
         head.caller,
     )
     text = state.tickets.encode(ticket)
     effect = IssueTicket(request.request_id, text)
-    return settle(state, request.request_id, effect)
+    return complete(state, request.request_id, effect)
 
 
-def settle_keyed(
+def admit_keyed(
     state: AgentState,
     request: Request,
     head: RequestHead,
@@ -119,12 +119,12 @@
     entry = state.ledger.find(key)
     if entry is not None:
         return _repeat_outcome(state, request, key, entry)
-    expires_at = state.identity.started + ticket.expiry
+    expires_at = state.identity.started_at + ticket.expiry
     if now >= expires_at:
         return _refuse_with(state, request, TICKET_EXPIRED, 'expired')
     request.key = key
     request.key_expires_at = expires_at + defaults.LEDGER_RETENTION_SECONDS
-    if ticket.serial < state.ledger.floor or state.ledger.is_full:
+    if ticket.serial < state.ledger.min_serial or state.ledger.is_full:
         return refuse(state, request, 'ledger_full', 0)
     if request.from_peer and not request.portable:
         return refuse(state, request, 'body_not_sent', 0)
@@ -139,7 +139,7 @@
     entry: LedgerEntry,
 ) -> Effects:
     if entry.state is EntryState.ADMITTED:
-        request.phase = Phase.WAITING
+        request.phase = Phase.WAITING_FOR_OUTCOME
         request.key = key
         entry.waiters.append(request.request_id)
         return (Count('keyed_attempts_waiting'),)
@@ -152,7 +152,7 @@
     repeated = make_answer(request.request_id, entry.answer)
     return (
         Count('keyed_answers_repeated'),
-        *settle(state, request.request_id, repeated),
+        *complete(state, request.request_id, repeated),
     )
 
 
@@ -165,10 +165,10 @@
     if request.from_peer:
         # Agents ask only the issuer itself and never forward an ask.
         return _refuse_with(state, request, TICKET_REFUSED, 'not_issuer')
-    request.phase = Phase.ASKING
+    request.phase = Phase.ASKING_ISSUER
     request.issuer = issuer
     request.asked_at = now
-    state.asked[request.request_id] = request
+    state.awaiting_peer[request.request_id] = request
     return _make_ask(request, issuer, now), Count('issuers_asked')
 
 
@@ -177,12 +177,12 @@
     return AskPeer(request.request_id, issuer, False, remaining)
 
 
-def ask_issuers_again(state: AgentState, now: float) -> Effects:
+def retry_issuer_asks(state: AgentState, now: float) -> Effects:
     """Repeat unanswered asks, and refuse requests that waited too long."""
     asking = [
         request
-        for request in state.asked.values()
-        if request.phase is Phase.ASKING
+        for request in state.awaiting_peer.values()
+        if request.phase is Phase.ASKING_ISSUER
     ]
     effects: list[AgentEffect] = []
     for request in asking:
@@ -194,7 +194,7 @@
     issuer = request.issuer
     if issuer is None:
         return ()
-    elapsed = now - request.arrived
+    elapsed = now - request.arrived_at
     if elapsed >= defaults.ASK_TIMEOUT_SECONDS or now >= request.deadline_at:
         issuer_is_gone = not is_listed(state, issuer)
         kind = OUTCOME_UNKNOWN if issuer_is_gone else OUTCOME_PENDING
@@ -211,10 +211,10 @@
     kind: ProblemType,
     reason: str,
 ) -> Effects:
-    retry_after = defaults.ASK_RETRY_SECONDS if kind.is_passing else None
+    retry_after = defaults.ASK_RETRY_SECONDS if kind.is_temporary else None
     problem = Problem(kind, reason, retry_after)
     refusal = RefuseRequest(request.request_id, problem)
     return (
         Count(f'keyed_refused_{reason}'),
-        *settle(state, request.request_id, refusal),
+        *complete(state, request.request_id, refusal),
     )
--- a/packages/keelgap-agent/src/keelgap_agent/requests/ledger.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/ledger.py
@@ -58,14 +58,14 @@
         self.expiries: deque[tuple[float, LedgerKey]] = deque()
         self.next_serial = 1
         #: Tickets with a lower serial may not start a request.
-        self.floor = 0
+        self.min_serial = 0
 
     @property
     def is_full(self) -> bool:
         """Return whether no entry can be added."""
         return len(self.entries) >= self.capacity
 
-    def take_serial(self) -> int:
+    def allocate_serial(self) -> int:
         """Return an unused serial for a new ticket."""
         serial = self.next_serial
         self.next_serial += 1
@@ -79,7 +79,7 @@
         """Add an entry for a request that may start."""
         self._add(key, LedgerEntry(EntryState.ADMITTED, expires_at))
 
-    def bury(self, key: LedgerKey, expires_at: float) -> None:
+    def record_tombstone(self, key: LedgerKey, expires_at: float) -> None:
         """Record that a request was not run and must never run.
 
         A full ledger revokes all tickets issued so far instead.
@@ -88,11 +88,11 @@
         if entry:
             entry.state = EntryState.TOMBSTONE
         elif self.is_full:
-            self.raise_floor()
+            self.revoke_issued_tickets()
         else:
             self._add(key, LedgerEntry(EntryState.TOMBSTONE, expires_at))
 
-    def finish(
+    def record_outcome(
         self,
         key: LedgerKey,
         state: EntryState,
@@ -102,9 +102,9 @@
         entry = self.entries[key]
         entry.state = state
         entry.answer = answer
-        return self.take_waiters(key)
+        return self.pop_waiters(key)
 
-    def take_waiters(self, key: LedgerKey) -> list[int]:
+    def pop_waiters(self, key: LedgerKey) -> list[int]:
         """Remove and return the ids of attempts that wait for a key."""
         entry = self.entries.get(key)
         if entry is None:
@@ -113,9 +113,9 @@
         entry.waiters = []
         return waiters
 
-    def raise_floor(self) -> None:
+    def revoke_issued_tickets(self) -> None:
         """Prevent all tickets issued so far from starting a request."""
-        self.floor = self.next_serial
+        self.min_serial = self.next_serial
 
     def forget_expired(self, now: float) -> None:
         """Remove expired entries, except those of running requests."""
--- a/packages/keelgap-agent/src/keelgap_agent/requests/lifecycle.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/lifecycle.py
@@ -15,30 +15,30 @@
 from keelgap_agent.requests.admission import (
     admit,
     pass_to_peer,
-    release,
-    start_waiting,
+    release_slot,
+    start_queued,
 )
-from keelgap_agent.requests.keyed import issue_ticket, settle_keyed
+from keelgap_agent.requests.keyed import admit_keyed, issue_ticket
 from keelgap_agent.requests.ledger import EntryState
 from keelgap_agent.requests.outcomes import Outcome, OutcomeKind, StoredAnswer
 from keelgap_agent.requests.problems import NOT_RUN, UPSTREAM_FAILED, Problem
 from keelgap_agent.requests.settling import (
     answer_all,
-    leave_flow,
+    complete_without_answer,
     refuse,
     refuse_all,
-    settle_silently,
+    remove_from_flow,
 )
 from keelgap_agent.state import AgentState, Phase, Request, match_class
 
 __all__ = (
     'TICKET_PATH',
-    'arrive',
-    'ask',
-    'cancel',
-    'finish',
-    'give_up_on_peers',
-    'take_peer_answer',
+    'handle_arrival',
+    'handle_peer_ask',
+    'handle_cancellation',
+    'record_outcome',
+    'abandon_silent_peers',
+    'handle_peer_answer',
 )
 
 Effects = tuple[AgentEffect, ...]
@@ -49,28 +49,28 @@
 _SERVICE_UNAVAILABLE: Final = 503
 
 
-def arrive(state: AgentState, event: RequestArrived) -> Effects:
+def handle_arrival(state: AgentState, event: RequestArrived) -> Effects:
     """Handle the arrival of a caller's request."""
     request = _make_request(state, event, event.flow_id)
     state.flows[event.flow_id] = state.flows.get(event.flow_id, 0) + 1
-    state.budget = min(
-        state.budget + defaults.BUDGET_SHARE,
-        defaults.BUDGET_CAP,
+    state.handover_budget = min(
+        state.handover_budget + defaults.HANDOVER_BUDGET_RATIO,
+        defaults.MAX_HANDOVER_BUDGET,
     )
     if event.head.path == TICKET_PATH:
         return issue_ticket(state, request, event.head, event.now)
     if request.traffic_class.at_most_once:
-        return settle_keyed(state, request, event.head, event.now)
+        return admit_keyed(state, request, event.head, event.now)
     return admit(state, request, event.now)
 
 
-def ask(state: AgentState, event: PeerAsked) -> Effects:
+def handle_peer_ask(state: AgentState, event: PeerAsked) -> Effects:
     """Handle a request that another agent passes on or asks about."""
     request = _make_request(state, event, None)
     request.run_only = event.run_only
     if event.run_only:
         return admit(state, request, event.now)
-    return settle_keyed(state, request, event.head, event.now)
+    return admit_keyed(state, request, event.head, event.now)
 
 
 def _make_request(
@@ -87,12 +87,12 @@
             event.now + head.deadline_seconds,
         )
     request.portable = head.portable and traffic_class.takes_slot
-    request.safe = head.method in _SAFE_METHODS
+    request.is_safe = head.method in _SAFE_METHODS
     state.requests[event.request_id] = request
     return request
 
 
-def cancel(state: AgentState, event: RequestCancelled) -> Effects:
+def handle_cancellation(state: AgentState, event: RequestCancelled) -> Effects:
     """Drop or abort a request, unless its outcome is still needed.
 
     A keyed request that has started, or for which other attempts wait, runs
@@ -102,18 +102,21 @@
     request = state.requests.get(event.request_id)
     if request is None or request.detached:
         return ()
-    if request.phase is Phase.WAITING or request.phase is Phase.ASKING:
+    if (
+        request.phase is Phase.WAITING_FOR_OUTCOME
+        or request.phase is Phase.ASKING_ISSUER
+    ):
         _stop_waiting(state, request)
-        settle_silently(state, request.request_id)
+        complete_without_answer(state, request.request_id)
         return ()
     if request.key is not None:
         return _cancel_keyed_request(state, request)
     if request.phase is Phase.RUNNING:
         request.detached = True
-        leave_flow(state, request)
+        remove_from_flow(state, request)
         return (CancelRun(request.request_id),)
     _leave_queue(state, request)
-    settle_silently(state, request.request_id)
+    complete_without_answer(state, request.request_id)
     return ()
 
 
@@ -122,11 +125,11 @@
     has_waiters = entry is not None and entry.waiters
     if request.phase is Phase.QUEUED and request.key and not has_waiters:
         _leave_queue(state, request)
-        state.ledger.bury(request.key, request.key_expires_at)
-        settle_silently(state, request.request_id)
+        state.ledger.record_tombstone(request.key, request.key_expires_at)
+        complete_without_answer(state, request.request_id)
         return (Count('keyed_cancelled_before_start'),)
     request.detached = True
-    leave_flow(state, request)
+    remove_from_flow(state, request)
     return ()
 
 
@@ -141,22 +144,22 @@
         entry.waiters.remove(request.request_id)
 
 
-def finish(state: AgentState, event: RequestFinished) -> Effects:
+def record_outcome(state: AgentState, event: RequestFinished) -> Effects:
     """Record how a started request ended, and start queued requests."""
     request = state.requests.get(event.request_id)
     if request is None:
         return ()
-    release(state, request, event.now)
+    release_slot(state, request, event.now)
     _record_upstream_result(state, event.outcome.kind, event.now)
     observation = Observe(
         'request_seconds',
         request.traffic_class.name,
-        event.now - request.arrived,
+        event.now - request.arrived_at,
     )
     return (
         observation,
         *_conclude(state, request, event.outcome, event.now),
-        *start_waiting(state, event.now),
+        *start_queued(state, event.now),
     )
 
 
@@ -164,10 +167,10 @@
     state: AgentState, kind: OutcomeKind, now: float
 ) -> None:
     if kind is OutcomeKind.NOT_SENT:
-        state.failures += 1
+        state.consecutive_failures += 1
         state.down_until = now + defaults.UPSTREAM_DOWN_SECONDS
     elif kind is OutcomeKind.ANSWERED:
-        state.failures = 0
+        state.consecutive_failures = 0
 
 
 def _conclude(
@@ -182,7 +185,7 @@
         passed_on = pass_to_peer(state, request, now)
         return passed_on or refuse(state, request, 'upstream_unreachable', 0)
     if outcome.kind is OutcomeKind.CANCELLED and request.key is None:
-        settle_silently(state, request.request_id)
+        complete_without_answer(state, request.request_id)
         return ()
     return _conclude_broken(state, request, 'broke_off')
 
@@ -192,7 +195,7 @@
     request: Request,
     answer: StoredAnswer | None,
 ) -> Effects:
-    settle_silently(state, request.request_id)
+    complete_without_answer(state, request.request_id)
     if request.key is None or answer is None:
         return ()
     service = state.service
@@ -214,7 +217,7 @@
     """Record the outcome of a key and return the waiting attempts."""
     if request.key is None:
         return ()
-    return tuple(state.ledger.finish(request.key, entry_state, answer))
+    return tuple(state.ledger.record_outcome(request.key, entry_state, answer))
 
 
 def _conclude_broken(
@@ -227,16 +230,16 @@
     return refuse_all(state, (request.request_id, *waiters), problem)
 
 
-def take_peer_answer(state: AgentState, event: PeerAnswered) -> Effects:
+def handle_peer_answer(state: AgentState, event: PeerAnswered) -> Effects:
     """Handle the answer of an agent that was asked."""
     request = state.requests.get(event.request_id)
     if request is None:
         return ()
-    if request.phase is Phase.ASKING:
+    if request.phase is Phase.ASKING_ISSUER:
         return _handle_issuer_answer(state, request, event)
-    if request.phase is not Phase.PASSED:
+    if request.phase is not Phase.PASSED_ON:
         return ()
-    state.asked.pop(event.request_id, None)
+    state.awaiting_peer.pop(event.request_id, None)
     return _handle_runner_answer(state, request, event)
 
 
@@ -266,20 +269,20 @@
     return answer_all(state, (request.request_id, *waiters), event.answer)
 
 
-def give_up_on_peers(state: AgentState, now: float) -> Effects:
+def abandon_silent_peers(state: AgentState, now: float) -> Effects:
     """Handle requests that a peer runs without answering in time.
 
     The peer may have started them, so only safe requests are run again.
     """
     late_requests = [
         request
-        for request in state.asked.values()
-        if request.phase is Phase.PASSED and _is_late(request, now)
+        for request in state.awaiting_peer.values()
+        if request.phase is Phase.PASSED_ON and _is_late(request, now)
     ]
     effects: list[AgentEffect] = []
     for request in late_requests:
-        state.asked.pop(request.request_id, None)
-        if request.safe and now < request.deadline_at:
+        state.awaiting_peer.pop(request.request_id, None)
+        if request.is_safe and now < request.deadline_at:
             effects.extend(admit(state, request, now))
         else:
             effects.extend(_conclude_broken(state, request, 'peer_silent'))
@@ -288,6 +291,6 @@
 
 def _is_late(request: Request, now: float) -> bool:
     elapsed = now - request.asked_at
-    if request.safe:
+    if request.is_safe:
         return elapsed >= defaults.ASK_RETRY_SECONDS
     return now >= request.deadline_at + defaults.ASK_RETRY_SECONDS
--- a/packages/keelgap-agent/src/keelgap_agent/requests/peer_requests.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/peer_requests.py
@@ -6,17 +6,17 @@
 
 from keelgap.addresses import Address
 from keelgap.control.messages import Answer, Ask, HeaderPairs
-from keelgap_agent.defaults import PORTABLE_OCTETS
+from keelgap_agent.defaults import MAX_PORTABLE_BODY_OCTETS
 from keelgap_agent.events import RequestHead
 from keelgap_agent.quic.bodies import BodyBuffer
-from keelgap_agent.requests.exchanges import RequestLines
+from keelgap_agent.requests.exchanges import UpstreamHead
 from keelgap_agent.requests.outcomes import StoredAnswer
 from keelgap_agent.requests.problems import (
     PROBLEM_TYPES,
     UPSTREAM_FAILED,
     Problem,
 )
-from keelgap_agent.requests.upstream import AnswerKeeper
+from keelgap_agent.requests.upstream import AnswerRecorder
 
 __all__ = ('PeerRequest', 'read_answer', 'read_problem')
 
@@ -38,8 +38,8 @@
         self.asker = asker
         self.ask = ask
         self.on_answer = on_answer
-        self.recorder = AnswerKeeper()
-        self.lines = RequestLines(ask.method, ask.path, ask.headers)
+        self.recorder = AnswerRecorder()
+        self.upstream_head = UpstreamHead(ask.method, ask.path, ask.headers)
         self.body = BodyBuffer(lambda count: None)
         self.body.feed(ask.body or b'', ended=True)
         body = ask.body
@@ -49,7 +49,7 @@
             ask.key,
             ask.caller,
             ask.deadline_seconds,
-            portable=body is not None and len(body) <= PORTABLE_OCTETS,
+            portable=body is not None and len(body) <= MAX_PORTABLE_BODY_OCTETS,
         )
 
     def send_head(self, status: int, headers: HeaderPairs) -> None:
@@ -63,7 +63,7 @@
 
     def send_end(self) -> None:
         """Send the collected answer."""
-        self.answer_whole(self.recorder.make_answer())
+        self.send_answer(self.recorder.make_answer())
 
     def refuse(self, problem: Problem) -> None:
         """Send a problem to the asking agent."""
@@ -77,7 +77,7 @@
             ),
         )
 
-    def answer_whole(self, answer: StoredAnswer) -> None:
+    def send_answer(self, answer: StoredAnswer) -> None:
         """Send a complete answer to the asking agent."""
         self.on_answer(
             self,
--- a/packages/keelgap-agent/src/keelgap_agent/requests/problems.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/problems.py
@@ -36,7 +36,7 @@
     not_run: bool
 
     @property
-    def is_passing(self) -> bool:
+    def is_temporary(self) -> bool:
         """Return whether a later attempt may succeed."""
         return self.status == HTTPStatus.SERVICE_UNAVAILABLE
 
--- a/packages/keelgap-agent/src/keelgap_agent/requests/request_effects.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/request_effects.py
@@ -58,7 +58,7 @@
         """Answer with a complete response."""
         exchange = self.exchanges.pop(effect.request_id, None)
         if exchange is not None:
-            exchange.answer_whole(effect.answer)
+            exchange.send_answer(effect.answer)
 
     def refuse_request(self, effect: effects.RefuseRequest) -> None:
         """Count a refusal and answer with its problem."""
@@ -81,7 +81,7 @@
                 ((b'content-type', b'text/plain'),),
                 effect.ticket.encode(),
             )
-            exchange.answer_whole(answer)
+            exchange.send_answer(answer)
 
     def ask_peer(self, effect: effects.AskPeer) -> None:
         """Send an ask to another agent."""
@@ -90,7 +90,7 @@
         if exchange is None or service is None:
             return
         head = exchange.head
-        body = exchange.body.read_all() if head.portable else None
+        body = exchange.body.get_contents() if head.portable else None
         self.driver.ports.control.send(
             effect.peer,
             Ask(
@@ -99,7 +99,7 @@
                 service.number,
                 head.method,
                 head.path,
-                exchange.lines.headers,
+                exchange.upstream_head.headers,
                 head.caller,
                 head.key,
                 effect.deadline_seconds,
--- a/packages/keelgap-agent/src/keelgap_agent/requests/settling.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/settling.py
@@ -19,8 +19,8 @@
     'make_answer',
     'refuse',
     'refuse_all',
-    'settle',
-    'settle_silently',
+    'complete',
+    'complete_without_answer',
 )
 
 Effects = tuple[AgentEffect, ...]
@@ -29,7 +29,7 @@
 _MAX_BACKOFF_STEPS: Final = 5
 
 
-def settle(
+def complete(
     state: AgentState,
     request_id: int,
     answer: AgentEffect,
@@ -41,23 +41,23 @@
     request = _remove(state, request_id)
     if request is None or request.detached:
         return ()
-    leave_flow(state, request)
+    remove_from_flow(state, request)
     return (answer,)
 
 
-def settle_silently(state: AgentState, request_id: int) -> None:
+def complete_without_answer(state: AgentState, request_id: int) -> None:
     """Remove a request that the driver answered or nobody waits for."""
     request = _remove(state, request_id)
     if request is not None and not request.detached:
-        leave_flow(state, request)
+        remove_from_flow(state, request)
 
 
 def _remove(state: AgentState, request_id: int) -> Request | None:
-    state.asked.pop(request_id, None)
+    state.awaiting_peer.pop(request_id, None)
     return state.requests.pop(request_id, None)
 
 
-def leave_flow(state: AgentState, request: Request) -> None:
+def remove_from_flow(state: AgentState, request: Request) -> None:
     """Decrement the number of open requests of the request's flow."""
     if request.flow_id is not None:
         state.flows[request.flow_id] -= 1
@@ -70,12 +70,12 @@
     wait: float,
 ) -> Effects:
     """Refuse a request that was not started and prevent it from running."""
-    state.refusals += 1
+    state.consecutive_refusals += 1
     problem = Problem(NOT_RUN, reason, _compute_retry_after(state, wait))
     waiters: list[int] = []
     if request.key is not None:
-        state.ledger.bury(request.key, request.key_expires_at)
-        waiters = state.ledger.take_waiters(request.key)
+        state.ledger.record_tombstone(request.key, request.key_expires_at)
+        waiters = state.ledger.pop_waiters(request.key)
     return (
         Count(f'requests_refused_{reason}'),
         *refuse_all(state, (request.request_id, *waiters), problem),
@@ -91,7 +91,7 @@
     effects: list[AgentEffect] = []
     for request_id in request_ids:
         refusal = RefuseRequest(request_id, problem)
-        effects.extend(settle(state, request_id, refusal))
+        effects.extend(complete(state, request_id, refusal))
     return tuple(effects)
 
 
@@ -104,7 +104,7 @@
     effects: list[AgentEffect] = []
     for request_id in request_ids:
         effect = make_answer(request_id, answer)
-        effects.extend(settle(state, request_id, effect))
+        effects.extend(complete(state, request_id, effect))
     return tuple(effects)
 
 
@@ -121,7 +121,9 @@
 
 def _compute_retry_after(state: AgentState, wait: float) -> float:
     """Return a backoff with jitter, which spreads out retries."""
-    steps = min(state.refusals // _REFUSALS_PER_STEP, _MAX_BACKOFF_STEPS)
+    steps = min(
+        state.consecutive_refusals // _REFUSALS_PER_STEP, _MAX_BACKOFF_STEPS
+    )
     backoff = min(
         defaults.BACKOFF_BASE_SECONDS * 2**steps,
         defaults.BACKOFF_MAX_SECONDS,
--- a/packages/keelgap-agent/src/keelgap_agent/requests/upstream.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/upstream.py
@@ -10,12 +10,17 @@
 from multidict import CIMultiDict
 
 from keelgap.control.messages import HeaderPairs
-from keelgap_agent.defaults import ANSWER_KEPT_OCTETS
+from keelgap_agent.defaults import MAX_STORED_ANSWER_OCTETS
 from keelgap_agent.quic.bodies import BodyCancelled
 from keelgap_agent.requests.exchanges import Exchange
 from keelgap_agent.requests.outcomes import Outcome, OutcomeKind, StoredAnswer
 
-__all__ = ('DEADLINE_HEADER', 'AnswerKeeper', 'UpstreamClient', 'watch_state')
+__all__ = (
+    'DEADLINE_HEADER',
+    'AnswerRecorder',
+    'UpstreamClient',
+    'poll_upstream_state',
+)
 
 #: Request header that gives the upstream the remaining seconds until the
 #: caller's deadline.
@@ -40,7 +45,7 @@
     state: str
 
 
-class AnswerKeeper:
+class AnswerRecorder:
     """Record an answer for the ledger while it is streamed."""
 
     def __init__(self) -> None:
@@ -53,12 +58,12 @@
     def add(self, part: bytes) -> None:
         """Store a part, unless the answer has become too long."""
         self.size += len(part)
-        if self.size <= ANSWER_KEPT_OCTETS:
+        if self.size <= MAX_STORED_ANSWER_OCTETS:
             self.parts.append(part)
 
     def make_answer(self) -> StoredAnswer:
         """Return the answer as the ledger stores it."""
-        is_storable = self.size <= ANSWER_KEPT_OCTETS
+        is_storable = self.size <= MAX_STORED_ANSWER_OCTETS
         body = b''.join(self.parts) if is_storable else None
         return StoredAnswer(self.status, tuple(self.headers), body)
 
@@ -92,7 +97,7 @@
         The timeout applies to the whole run; None allows long streams.
         Calls on_head when the head of the answer has arrived.
         """
-        recorder = AnswerKeeper()
+        recorder = AnswerRecorder()
         try:
             async with asyncio.timeout(timeout_seconds):
                 await self._run_exchange(
@@ -114,12 +119,12 @@
         self,
         exchange: Exchange,
         deadline_seconds: float,
-        recorder: AnswerKeeper,
+        recorder: AnswerRecorder,
         on_head: Callable[[], None],
     ) -> None:
         async with self.session.request(
-            exchange.lines.method,
-            self.url + exchange.lines.path,
+            exchange.upstream_head.method,
+            self.url + exchange.upstream_head.path,
             headers=self._make_headers(exchange, deadline_seconds),
             data=self._choose_body(exchange),
             allow_redirects=False,
@@ -142,7 +147,9 @@
     ) -> CIMultiDict[str]:
         headers = CIMultiDict(
             (name.decode('latin-1'), text.decode('latin-1'))
-            for name, text in strip_hop_by_hop_headers(exchange.lines.headers)
+            for name, text in strip_hop_by_hop_headers(
+                exchange.upstream_head.headers
+            )
         )
         headers[DEADLINE_HEADER] = f'{max(deadline_seconds, 0):.3f}'
         return headers
@@ -154,7 +161,7 @@
         return body.read()
 
 
-async def watch_state(
+async def poll_upstream_state(
     session: aiohttp.ClientSession,
     url: str,
     on_state: Callable[[bool], None],
--- a/packages/keelgap-agent/src/keelgap_agent/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/server.py
@@ -41,7 +41,7 @@
 from keelgap_agent.quic.protocol import CONNECTION_WINDOW, STREAM_WINDOW
 from keelgap_agent.quic.sender import EnvelopeSender
 from keelgap_agent.requests.tickets import TicketCodec
-from keelgap_agent.requests.upstream import UpstreamClient, watch_state
+from keelgap_agent.requests.upstream import UpstreamClient, poll_upstream_state
 from keelgap_agent.state import AgentIdentity, AgentState
 
 __all__ = ('AgentServer',)
@@ -198,7 +198,9 @@
         if upstream.state_path:
             url = upstream.url.rstrip('/') + upstream.state_path
             poll = asyncio.create_task(
-                watch_state(session, url, self.driver.note_upstream_state),
+                poll_upstream_state(
+                    session, url, self.driver.handle_upstream_state
+                ),
             )
             stack.callback(poll.cancel)
 
@@ -233,11 +235,11 @@
             self.driver.dispatch(TableChanged(now, parsed))
             service = self.driver.state.service
             if service is not None:
-                self.flows.serve(service.number)
+                self.flows.set_service(service.number)
         else:
             self.driver.dispatch(InstancesChanged(now, parsed))
             balancers = parsed.select_data('balancer', 'live')
-            self.flows.return_path.note_listed(balancers)
+            self.flows.return_path.record_listed(balancers)
 
     def _handle_message(self, delivery: Delivery) -> None:
         message = delivery.message
--- a/packages/keelgap-agent/src/keelgap_agent/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/state.py
@@ -21,7 +21,7 @@
 __all__ = (
     'AgentIdentity',
     'AgentState',
-    'LeaveCause',
+    'LeaveReason',
     'Phase',
     'Request',
     'match_class',
@@ -39,14 +39,14 @@
     #: on the same address.
     incarnation: int
     #: Time of the start in seconds, on the clock of events.
-    started: float
+    started_at: float
 
 
-class LeaveCause(Enum):
+class LeaveReason(Enum):
     """Sources that can report this agent as leaving."""
 
     TABLE = 'table'
-    LIST = 'list'
+    INSTANCE_LIST = 'list'
     UPSTREAM = 'upstream'
     #: SIGTERM, the only source that cannot be withdrawn.
     SIGNAL = 'signal'
@@ -58,18 +58,18 @@
     QUEUED = 'queued'
     RUNNING = 'running'
     #: Another agent was asked to run it.
-    PASSED = 'passed'
+    PASSED_ON = 'passed'
     #: The issuer of its ticket was asked for the outcome.
-    ASKING = 'asking'
+    ASKING_ISSUER = 'asking'
     #: It waits for an earlier attempt with the same key at this agent.
-    WAITING = 'waiting'
+    WAITING_FOR_OUTCOME = 'waiting'
 
 
 class Request:
     """A request without a final answer."""
 
     __slots__ = (
-        'arrived',
+        'arrived_at',
         'asked_at',
         'deadline_at',
         'detached',
@@ -78,13 +78,13 @@
         'issuer',
         'key',
         'key_expires_at',
-        'moved',
+        'was_passed_on',
         'phase',
         'portable',
         'request_id',
         'run_only',
-        'safe',
-        'started',
+        'is_safe',
+        'started_at',
         'traffic_class',
     )
 
@@ -93,23 +93,23 @@
         request_id: int,
         flow_id: int | None,
         traffic_class: TrafficClass,
-        arrived: float,
+        arrived_at: float,
     ) -> None:
         """Start as queued; flow_id is None for a peer's request."""
         self.request_id = request_id
         self.flow_id = flow_id
         self.traffic_class = traffic_class
-        self.arrived = arrived
-        self.started = arrived
-        self.asked_at = arrived
-        self.deadline_at = arrived + traffic_class.deadline_seconds
+        self.arrived_at = arrived_at
+        self.started_at = arrived_at
+        self.asked_at = arrived_at
+        self.deadline_at = arrived_at + traffic_class.deadline_seconds
         self.phase = Phase.QUEUED
         #: Set if the request is in this agent's ledger.
         self.key: LedgerKey | None = None
-        self.key_expires_at = arrived
+        self.key_expires_at = arrived_at
         self.portable = False
         #: Whether its method is safe to repeat (RFC 9110, 9.2.1).
-        self.safe = False
+        self.is_safe = False
         #: Whether it came from another agent.
         self.from_peer = flow_id is None
         #: Control address of the issuer of its ticket, set when it is asked.
@@ -117,7 +117,7 @@
         #: Whether the asking agent keeps it in its ledger, if it has a key.
         self.run_only = False
         #: Whether it was passed on to another agent before.
-        self.moved = False
+        self.was_passed_on = False
         #: Whether its caller has left while its outcome is still needed.
         self.detached = False
 
@@ -135,7 +135,7 @@
         self.identity = identity
         self.tickets = tickets
         self.random = random
-        self.ledger = Ledger(defaults.LEDGER_ENTRIES)
+        self.ledger = Ledger(defaults.MAX_LEDGER_ENTRIES)
         self.table: Table = EMPTY_TABLE
         self.instances: InstanceList = NO_INSTANCES
         self.service: Service | None = None
@@ -143,7 +143,7 @@
         self.requests: dict[int, Request] = {}
         #: Requests that wait for another agent.  The timer checks only these,
         #: because thousands of long streams may be open.
-        self.asked: dict[int, Request] = {}
+        self.awaiting_peer: dict[int, Request] = {}
         #: Queued requests in the order in which they will start.
         self.queue: list[Request] = []
         #: Number of requests that hold a slot.
@@ -153,30 +153,30 @@
         #: Handshakes that were handed over, by the caller's connection id:
         #: agent, its index in the candidates and time of expiry.
         self.handovers: dict[bytes, tuple[Address, int, float]] = {}
-        self.service_seconds = defaults.INITIAL_SERVICE_SECONDS
-        self.budget = defaults.BUDGET_CAP
+        self.service_seconds = defaults.INITIAL_SERVICE_TIME_SECONDS
+        self.handover_budget = defaults.MAX_HANDOVER_BUDGET
         #: Refusals since a request was last started; the backoff grows with it.
-        self.refusals = 0
-        self.failures = 0
-        self.down_until = identity.started
+        self.consecutive_refusals = 0
+        self.consecutive_failures = 0
+        self.down_until = identity.started_at
         #: Why this agent is leaving; empty while it is not.
-        self.leave_causes: set[LeaveCause] = set()
+        self.leave_reasons: set[LeaveReason] = set()
         #: When GOAWAY was sent to callers.
-        self.announced_at: float | None = None
+        self.goaway_sent_at: float | None = None
         #: Flows for which EndFlow was returned.
-        self.ended_flows: set[int] = set()
+        self.closing_flows: set[int] = set()
         self.idle_since: float | None = None
 
     @property
     def is_leaving(self) -> bool:
         """Return whether no new work may start here."""
-        return bool(self.leave_causes)
+        return bool(self.leave_reasons)
 
     def count_slots(self, now: float) -> int:
         """Return the number of slots, which grows during a cold start."""
         if self.row is None:
             return 0
-        age = now - self.identity.started
+        age = now - self.identity.started_at
         cold_start_seconds = self.row.cold_start_seconds
         if age >= cold_start_seconds:
             return self.row.slots
@@ -185,7 +185,7 @@
     def is_down(self, now: float) -> bool:
         """Return whether repeated failures keep the upstream out of use."""
         return (
-            self.failures >= defaults.UPSTREAM_FAILURES
+            self.consecutive_failures >= defaults.MAX_UPSTREAM_FAILURES
             and now < self.down_until
         )
 
--- a/tests/agent/fakes.py
+++ b/tests/agent/fakes.py
@@ -7,7 +7,7 @@
 from keelgap.instances import Instance, InstanceList
 from keelgap.table import Service, Table, TrafficClass, Upstream
 from keelgap_agent import effects, events
-from keelgap_agent.driver import count_requests
+from keelgap_agent.driver import generate_request_ids
 from keelgap_agent.reducer import reduce
 from keelgap_agent.requests.outcomes import Outcome, OutcomeKind, StoredAnswer
 from keelgap_agent.requests.problems import Problem
@@ -137,7 +137,7 @@
         )
         tickets = TicketCodec({1: bytes(32)}, 1)
         self.state = AgentState(identity, tickets, Random(index))
-        self.request_ids = count_requests(world.incarnation)
+        self.request_ids = generate_request_ids(world.incarnation)
         self.heads: dict[int, events.RequestHead] = {}
         #: Final answers by request: a StoredAnswer, a Problem or a ticket.
         self.answers: dict[int, Any] = {}
--- a/tests/agent/test_admission.py
+++ b/tests/agent/test_admission.py
@@ -147,7 +147,7 @@
 
     def test_retry_budget_bounds_what_is_passed_on(self) -> None:
         """A share of first attempts, not all of an overload."""
-        self.agent.state.budget = 0
+        self.agent.state.handover_budget = 0
         passed = 0
         for _ in range(100):
             self.agent.request()
@@ -268,7 +268,7 @@
         self.world.pass_time(1.5)
         self.world.cut.clear()
         request = self.agent.state.requests[waiting]
-        request.moved = False
+        request.was_passed_on = False
         self.agent.feed(events.StopRequested(self.world.now))
         self.assertEqual(len(self.other.running), 1)
 
--- a/tests/agent/test_at_most_once.py
+++ b/tests/agent/test_at_most_once.py
@@ -207,7 +207,7 @@
         """An expired ticket starts nothing, but its answer is repeated."""
         first = self.issuer.submit(self.key)
         self.issuer.finish(first)
-        self.world.now += defaults.TICKET_SECONDS + 1
+        self.world.now += defaults.TICKET_LIFETIME_SECONDS + 1
         self.world.pass_time(0.1)
         retry = self.issuer.submit(self.key)
         self.check_answer(self.issuer, retry, 'answered')
--- a/tests/agent/test_oracle.py
+++ b/tests/agent/test_oracle.py
@@ -36,10 +36,14 @@
 
 DELIBERATE_FAULTS = {
     'a ledger that forgets': (Ledger, 'find', lambda self, key: None),
-    'a refusal without tombstone': (Ledger, 'bury', refuse_without_tombstone),
+    'a refusal without tombstone': (
+        Ledger,
+        'record_tombstone',
+        refuse_without_tombstone,
+    ),
     'a full ledger that raises no floor': (
         Ledger,
-        'raise_floor',
+        'revoke_issued_tickets',
         lambda self: None,
     ),
     'a drain that takes new work': (
--- a/tests/agent/test_quic.py
+++ b/tests/agent/test_quic.py
@@ -26,7 +26,7 @@
     HandshakeIds,
     send_goaway,
 )
-from keelgap_agent.quic.streams import CallerStream, StreamPort
+from keelgap_agent.quic.streams import CallerStream, StreamTransport
 from keelgap_standins.certificates import write_certificate
 
 ADDRESS = Address('127.0.0.1', 1)
@@ -111,7 +111,7 @@
         self.exchange(60)
         received = self.count_received(stream_id)
         self.assertEqual(received, STREAM_WINDOW)
-        self.server.take_credit(stream_id, STREAM_WINDOW)
+        self.server.record_consumed(stream_id, STREAM_WINDOW)
         self.exchange(60)
         received += self.count_received(stream_id)
         self.assertEqual(received, 2 * STREAM_WINDOW)
@@ -159,8 +159,8 @@
         http: Any = SimpleNamespace(
             send_data=lambda _, part, end_stream: self.sent.append(part),
         )
-        port = StreamPort(1, quic, http, lambda: None, lambda _: None)
-        self.stream = CallerStream(port, 0, 1, [(b':method', b'GET')])
+        transport = StreamTransport(1, quic, http, lambda: None, lambda _: None)
+        self.stream = CallerStream(transport, 0, 1, [(b':method', b'GET')])
 
     async def test_odd_numbers_of_callers_count_as_none(self) -> None:
         """A deadline that is no number would never pass."""
@@ -172,18 +172,18 @@
             (b'2.5', 2.5),
         ):
             headers = [(b':method', b'GET'), (b'keelgap-deadline', text)]
-            stream = CallerStream(self.stream.port, 0, 1, headers)
+            stream = CallerStream(self.stream.transport, 0, 1, headers)
             self.assertEqual(stream.head.deadline_seconds, expected)
 
     async def test_upstream_waits_while_too_much_is_unsent(self) -> None:
         """And goes on when the caller has made room."""
         sending = asyncio.create_task(self.stream.send_part(b'x'))
         for _ in range(3):
-            self.stream.room.set()
+            self.stream.writable.set()
             await asyncio.sleep(0)
             self.assertFalse(sending.done())
         self.unsent = 0
-        self.stream.room.set()
+        self.stream.writable.set()
         await asyncio.wait_for(sending, 1)
         self.assertEqual(self.sent, [b'x'])
 
--- a/tests/agent/test_return_path.py
+++ b/tests/agent/test_return_path.py
@@ -3,7 +3,7 @@
 from unittest import TestCase
 
 from keelgap.addresses import Address
-from keelgap_agent.quic.return_path import TRY_SECONDS, ReturnPath
+from keelgap_agent.quic.return_path import ROTATION_SECONDS, ReturnPath
 
 FIRST, SECOND, THIRD = (
     Address(f'127.0.0.{number}', 7001) for number in (11, 12, 13)
@@ -18,15 +18,15 @@
     def setUp(self) -> None:
         """Know three balancers from the list, of which two sent something."""
         self.path = ReturnPath()
-        self.path.note_listed({FIRST, SECOND, THIRD})
-        self.path.note_heard(FIRST, 10.0)
-        self.path.note_heard(SECOND, 10.2)
+        self.path.record_listed({FIRST, SECOND, THIRD})
+        self.path.record_heard(FIRST, 10.0)
+        self.path.record_heard(SECOND, 10.2)
 
     def list_used(self, since: float, seconds: float) -> set[Address]:
         """Return the balancers used for a flow that came through the first."""
-        steps = int(seconds / TRY_SECONDS) + 1
+        steps = int(seconds / ROTATION_SECONDS) + 1
         return {
-            self.path.choose(FIRST, since + step * TRY_SECONDS)
+            self.path.choose_balancer(FIRST, since + step * ROTATION_SECONDS)
             for step in range(steps)
         }
 
@@ -36,8 +36,10 @@
 
     def test_the_one_heard_latest_takes_over(self) -> None:
         """It lives, whichever flow it forwarded."""
-        self.path.note_heard(SECOND, 10.0 + SILENT)
-        self.assertEqual(self.path.choose(FIRST, 10.0 + SILENT), SECOND)
+        self.path.record_heard(SECOND, 10.0 + SILENT)
+        self.assertEqual(
+            self.path.choose_balancer(FIRST, 10.0 + SILENT), SECOND
+        )
 
     def test_balancers_that_never_sent_anything_are_tried(self) -> None:
         """The two that did have died, and the caller only listens.
@@ -45,16 +47,16 @@
         The fault of ``test_feed_survives_the_death_of_a_balancer`` beside a
         load: datagrams went to the dead until the caller's idle timeout.
         """
-        used = self.list_used(10.0 + SILENT, 3 * TRY_SECONDS)
+        used = self.list_used(10.0 + SILENT, 3 * ROTATION_SECONDS)
         self.assertEqual(used, {FIRST, SECOND, THIRD})
 
     def test_acknowledgement_ends_the_turns(self) -> None:
         """Through whichever balancer it came."""
-        self.path.note_heard(THIRD, 10.0 + SILENT)
+        self.path.record_heard(THIRD, 10.0 + SILENT)
         self.assertEqual(self.list_used(10.0 + SILENT, 0.5), {THIRD})
 
     def test_leaving_balancers_are_not_tried(self) -> None:
         """Though the list, which lags, still names them."""
-        self.path.note_leaving(SECOND, 10.5)
-        used = self.list_used(10.0 + SILENT, 3 * TRY_SECONDS)
+        self.path.record_leaving(SECOND, 10.5)
+        used = self.list_used(10.0 + SILENT, 3 * ROTATION_SECONDS)
         self.assertEqual(used, {FIRST, THIRD})
