--- a/experiments/forwarding.py
+++ b/experiments/forwarding.py
@@ -23,7 +23,7 @@
 from keelgap.addresses import Address
 from keelgap.metrics import SharedMetrics
 from keelgap.routing.connection_ids import ConnectionIdCodec, FlowOwner
-from keelgap.sockets import bind_datagram, make_reader
+from keelgap.sockets import bind_datagram, make_datagram_reader
 from keelgap.wire.encapsulation import Envelope, EnvelopeCodec, MessageKind
 from keelgap_balancer.driver import BalancerDriver
 from keelgap_balancer.events import TableChanged
@@ -93,7 +93,7 @@
         out.sendto(datagram, target)
 
     fill = _make_filler(sock.getsockname(), datagrams, stack)
-    return _time_reader(make_reader(sock, relay), fill)
+    return _time_reader(make_datagram_reader(sock, relay), fill)
 
 
 class _Bench:
@@ -132,7 +132,7 @@
 
     def measure_forward(self, flows: int) -> _Rates:
         """Measure callers' packets on their way to the agent."""
-        reader = make_reader(
+        reader = make_datagram_reader(
             self.listener,
             self.driver._make_caller_reader(1),  # noqa: WPS437
         )
@@ -163,7 +163,7 @@
                 datagram = codec.seal(envelope, target)
                 sender.sendto(datagram, target)
 
-        reader = make_reader(
+        reader = make_datagram_reader(
             sock,
             self.driver._read_envelope,  # noqa: WPS437
         )
--- a/experiments/load_model.py
+++ b/experiments/load_model.py
@@ -13,7 +13,7 @@
 
 from keelgap.addresses import Address
 from keelgap.instances import Instance, InstanceList
-from keelgap.routing.rendezvous import Weighted, rank
+from keelgap.routing.rendezvous import WeightedSeed, rank_members
 from keelgap.table import Service, Table, TrafficClass, Upstream
 from keelgap_agent import effects, events
 from keelgap_agent.reducer import reduce
@@ -133,9 +133,10 @@
     def choose_ranked(self, key: bytes, how_many: int) -> list[int]:
         """Return agents by rendezvous hashing, best first."""
         members = (
-            (Weighted(index + 1, 1), index) for index in range(len(self.agents))
+            (WeightedSeed(index + 1, 1), index)
+            for index in range(len(self.agents))
         )
-        return rank(key, members, how_many)
+        return rank_members(key, members, how_many)
 
     def _make_agent(self, index: int) -> _Agent:
         address = Address(f'10.0.0.{index + 1}', 7001)
--- a/experiments/slopes.py
+++ b/experiments/slopes.py
@@ -31,9 +31,9 @@
     load_document,
 )
 from keelgap.dissemination.driver import (
-    make_checkers,
-    make_instances_checker,
-    make_table_checker,
+    make_instances_parser,
+    make_parsers,
+    make_table_parser,
 )
 from keelgap.dissemination.effects import PutInForce
 from keelgap.dissemination.events import DocumentRead, MessageReceived
@@ -41,8 +41,8 @@
 from keelgap.dissemination.state import (
     DisseminationIdentity,
     DisseminationState,
-    DocumentNames,
-    Parsed,
+    DocumentKeys,
+    ParsedDocument,
 )
 from keelgap.routing.connection_ids import ConnectionIdCodec
 from keelgap.wire.encapsulation import Envelope, EnvelopeCodec, MessageKind
@@ -194,7 +194,7 @@
         Address('10.255.0.1', 7001),
         ConnectionIdCodec({1: bytes(16)}, 1),
     )
-    table = make_table_checker()(make_table(rows))
+    table = make_table_parser()(make_table(rows))
     reduce(state, TableChanged(0, table))
     return state
 
@@ -202,7 +202,7 @@
 def hold_table(rows: int) -> tuple[object, ...]:
     """Return all that a balancer keeps of a table of so many rows."""
     document = make_table(rows)
-    check = make_table_checker()
+    check = make_table_parser()
     state = BalancerState(
         Address('10.255.0.1', 7001),
         ConnectionIdCodec({1: bytes(16)}, 1),
@@ -214,7 +214,7 @@
 def make_receiver(
     versions: list[Document],
     key: str,
-    put_in_force: Callable[[Parsed], object],
+    put_in_force: Callable[[ParsedDocument], object],
 ) -> Callable[[], object]:
     """Return a call that receives the next delta and puts it in force.
 
@@ -243,9 +243,9 @@
 
 
 def _start_process(key: str, document: Document) -> DisseminationState:
-    names = DocumentNames()
+    names = DocumentKeys()
     identity = DisseminationIdentity(Address('10.0.0.1', 7002), 'zone-0')
-    state = DisseminationState(identity, make_checkers(names), Random(1), 0)
+    state = DisseminationState(identity, make_parsers(names), Random(1), 0)
     state.joined = True
     disseminate(state, DocumentRead(0, key, document.content))
     return state
@@ -259,7 +259,7 @@
     def put_in_force(parsed: Any) -> None:
         reduce(balancer, TableChanged(0, parsed))
 
-    return make_receiver(versions, DocumentNames().table, put_in_force)
+    return make_receiver(versions, DocumentKeys().table, put_in_force)
 
 
 def change_list(instances: int) -> Callable[[], object]:
@@ -272,7 +272,7 @@
     def put_in_force(parsed: Any) -> None:
         reduce(balancer, InstancesChanged(0, parsed))
 
-    return make_receiver(versions, DocumentNames().instances, put_in_force)
+    return make_receiver(versions, DocumentKeys().instances, put_in_force)
 
 
 def tick_balancer(rows: int) -> Callable[[], object]:
@@ -289,7 +289,7 @@
 def hold_list(instances: int) -> tuple[object, ...]:
     """Return all that a process keeps of a list of so many instances."""
     document = make_list(instances)
-    check = make_instances_checker()
+    check = make_instances_parser()
     return document, check, check(document)
 
 
--- a/packages/keelgap-agent/src/keelgap_agent/drain.py
+++ b/packages/keelgap-agent/src/keelgap_agent/drain.py
@@ -54,7 +54,7 @@
     if event.instances.revision <= state.instances.revision:
         return ()
     state.instances = event.instances
-    leaving = event.instances.select_data('agent', 'leaving')
+    leaving = event.instances.select_data_addresses('agent', 'leaving')
     listed_as_leaving = state.identity.data in leaving
     return _update_leave_reason(
         state, LeaveReason.INSTANCE_LIST, listed_as_leaving, event.now
--- a/packages/keelgap-agent/src/keelgap_agent/packets/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/server.py
@@ -23,7 +23,7 @@
 )
 from keelgap.packets.sockets import PacketSockets
 from keelgap.runtime.pages import Page, make_ready_page, serve_pages
-from keelgap.sockets import make_reader, send_datagram
+from keelgap.sockets import make_datagram_reader, send_datagram
 from keelgap_agent.packets import defaults
 from keelgap_agent.packets.conf import AgentPacketSettings
 from keelgap_agent.packets.effects import (
@@ -104,11 +104,11 @@
         loop = self.loop
         loop.add_reader(
             self.upstream_socket,
-            make_reader(self.upstream_socket, self._read_upstream),
+            make_datagram_reader(self.upstream_socket, self._read_upstream),
         )
         loop.add_reader(
             self.peer_socket,
-            make_reader(self.peer_socket, self._read_peer),
+            make_datagram_reader(self.peer_socket, self._read_peer),
         )
         listen = self.settings.listen
         ready = parse_address(listen.ready)
--- a/packages/keelgap-agent/src/keelgap_agent/quic/flow_table.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/flow_table.py
@@ -10,7 +10,7 @@
 
 from keelgap.addresses import Address
 from keelgap.routing.connection_ids import ConnectionIdCodec, FlowOwner
-from keelgap.sockets import bind_datagram, make_reader
+from keelgap.sockets import bind_datagram, make_datagram_reader
 from keelgap.wire.encapsulation import Envelope, MessageKind
 from keelgap.wire.exceptions import (
     ForeignService,
@@ -78,7 +78,7 @@
         sock = bind_datagram('listen.data_port', self.owner.agent)
         stack.callback(sock.close)
         self.sender.sock = sock
-        self.loop.add_reader(sock, make_reader(sock, self._receive))
+        self.loop.add_reader(sock, make_datagram_reader(sock, self._receive))
         stack.callback(self.loop.remove_reader, sock)
         stack.callback(self._stop_timers)
 
--- a/packages/keelgap-agent/src/keelgap_agent/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/server.py
@@ -15,12 +15,12 @@
     start_admin,
 )
 from keelgap.control.messages import Answer, Ask, Delivery
-from keelgap.dissemination.state import Parsed
+from keelgap.dissemination.state import ParsedDocument
 from keelgap.exceptions import Fault, ImproperlyConfigured
 from keelgap.keys import load_keys
 from keelgap.plane import (
     ControlPlane,
-    PlaneSettings,
+    ControlPlaneSettings,
     make_incarnation,
     start_control_plane,
 )
@@ -82,7 +82,9 @@
         session = await self._open_session(stack)
         upstream = UpstreamClient(session, self.settings.upstream.url)
         self.plane = await start_control_plane(
-            PlaneSettings(instance, listen, self.settings.config_service),
+            ControlPlaneSettings(
+                instance, listen, self.settings.config_service
+            ),
             self.keys,
             self.metrics,
             self._handle_change,
@@ -149,14 +151,14 @@
     def _make_flows(self) -> FlowTable:
         owner = FlowOwner(self.driver.state.identity.data, 0)
         sender = EnvelopeSender(
-            self.keys.make_envelopes(self.incarnation, owner.agent),
+            self.keys.make_envelope_codec(self.incarnation, owner.agent),
             self.metrics,
             self._get_revision,
             lambda: flows.owner.service,
         )
         flows = FlowTable(
             owner,
-            self.keys.make_connection_ids(),
+            self.keys.make_connection_id_codec(),
             sender,
             self.configuration,
             FlowHooks(
@@ -227,9 +229,9 @@
 
     def _record_revision(self, sender: Address, revision: int) -> None:
         if revision > self._get_revision():
-            self.plane.dissemination.note_revision(sender, revision)
+            self.plane.dissemination.handle_revision(sender, revision)
 
-    def _handle_change(self, parsed: Parsed) -> None:
+    def _handle_change(self, parsed: ParsedDocument) -> None:
         now = self.loop.time()
         if isinstance(parsed, Table):
             self.driver.dispatch(TableChanged(now, parsed))
@@ -238,7 +240,7 @@
                 self.flows.set_service(service.number)
         else:
             self.driver.dispatch(InstancesChanged(now, parsed))
-            balancers = parsed.select_data('balancer', 'live')
+            balancers = parsed.select_data_addresses('balancer', 'live')
             self.flows.return_path.record_listed(balancers)
 
     def _handle_message(self, delivery: Delivery) -> None:
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/example.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/example.py
@@ -8,7 +8,7 @@
 import zmq
 from fire.decorators import SetParseFn
 
-from keelgap.routing.connection_ids import KEY_LENGTH
+from keelgap.routing.connection_ids import CONNECTION_ID_KEY_LENGTH
 
 __all__ = ('Example', 'make_keys')
 
@@ -45,7 +45,7 @@
     """Generate the keys that all processes of a fleet share."""
     public, secret = zmq.curve_keypair()
     texts = {
-        'connection-ids-first.key': secrets.token_hex(KEY_LENGTH),
+        'connection-ids-first.key': secrets.token_hex(CONNECTION_ID_KEY_LENGTH),
         'mac-first.key': secrets.token_hex(_MAC_KEY_LENGTH),
         'curve-public.key': public.decode(),
         'curve-secret.key': secret.decode(),
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/run.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/run.py
@@ -3,7 +3,7 @@
 from keelgap.conf import load_settings
 from keelgap.exceptions import KeelgapError
 from keelgap.logs import configure_logs
-from keelgap.process import exit_on_error
+from keelgap.process import report_error
 from keelgap.process import run as run_server
 from keelgap_balancer.conf import BalancerSettings
 from keelgap_balancer.server import BalancerServer
@@ -16,6 +16,6 @@
     try:
         settings = load_settings(path, BalancerSettings)
     except KeelgapError as error:
-        return exit_on_error(error)
+        return report_error(error)
     configure_logs('keelgap', settings.instance.name)
     return run_server(lambda: BalancerServer(settings))
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/show.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/show.py
@@ -8,7 +8,7 @@
 from fire.decorators import SetParseFns
 
 from keelgap.process import EXIT_FAULTS
-from keelgap.readback import Unreachable, read_page
+from keelgap.readback import Unreachable, fetch_page
 
 __all__ = ('Show',)
 
@@ -42,7 +42,7 @@
 
 def _read_or_exit(address: str, path: str) -> Any:
     try:
-        return asyncio.run(read_page(address, path))
+        return asyncio.run(fetch_page(address, path))
     except Unreachable as error:
         _print(f'{error.code}: {error}', file=sys.stderr)
         sys.exit(EXIT_FAULTS)
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/status.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/status.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from keelgap.process import EXIT_FAULTS
-from keelgap.readback import Reading, read_all
+from keelgap.readback import PageResult, fetch_pages
 
 __all__ = ('status',)
 
@@ -23,7 +23,7 @@
 
 def status(addresses: tuple[str, ...], *, as_json: bool) -> int:
     """Print a line per process; return 0 if all have the same table."""
-    readings = asyncio.run(read_all(addresses, '/status'))
+    readings = asyncio.run(fetch_pages(addresses, '/status'))
     lines = _compare_versions(readings)
     if as_json:
         print(msgspec.json.encode(lines).decode())  # noqa: WPS421
@@ -34,7 +34,7 @@
     return EXIT_FAULTS if states - {'current'} else 0
 
 
-def _compare_versions(readings: list[Reading]) -> list[_Line]:
+def _compare_versions(readings: list[PageResult]) -> list[_Line]:
     versions = [
         _get_version(reading) for reading in readings if not reading.error
     ]
@@ -42,12 +42,12 @@
     return [_make_line(reading, newest) for reading in readings]
 
 
-def _get_version(reading: Reading) -> tuple[int, str]:
+def _get_version(reading: PageResult) -> tuple[int, str]:
     table = reading.document['table']
     return (table['revision'], table['digest'])
 
 
-def _make_line(reading: Reading, newest: tuple[int, str]) -> _Line:
+def _make_line(reading: PageResult, newest: tuple[int, str]) -> _Line:
     if reading.error is not None:
         return _Line(
             address=reading.address,
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/trace.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/trace.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from keelgap.exceptions import KeelgapError
-from keelgap.process import EXIT_FAULTS, exit_on_error
+from keelgap.process import EXIT_FAULTS, report_error
 
 __all__ = ('read_lines', 'select_history', 'trace')
 
@@ -99,7 +99,7 @@
             with Path(name).open(encoding='utf-8', errors='replace') as log:
                 entries.extend(read_lines(log))
     except OSError as error:
-        return exit_on_error(UnreadableLog(str(error)))
+        return report_error(UnreadableLog(str(error)))
     history = select_history(entries, wanted, around=around)
     with suppress(BrokenPipeError):
         for entry in history:
--- a/packages/keelgap-balancer/src/keelgap_balancer/driver.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/driver.py
@@ -11,7 +11,7 @@
 from keelgap.exceptions import PortInUse
 from keelgap.logs import logger
 from keelgap.metrics import SharedMetrics
-from keelgap.sockets import bind_datagram, make_reader, send_datagram
+from keelgap.sockets import bind_datagram, make_datagram_reader, send_datagram
 from keelgap.wire.encapsulation import EnvelopeCodec
 from keelgap.wire.exceptions import WireError
 from keelgap_balancer.defaults import TIMER_SECONDS
@@ -80,7 +80,7 @@
         sock = bind_datagram('listen.data_port', self.state.address)
         stack.callback(sock.close)
         self.data_socket = sock
-        reader = make_reader(sock, self._handle_envelope)
+        reader = make_datagram_reader(sock, self._handle_envelope)
         self.loop.add_reader(sock, reader)
         stack.callback(self.loop.remove_reader, sock)
         stack.callback(self._close_listeners)
@@ -148,7 +148,9 @@
             return
         stack = ExitStack()
         stack.callback(sock.close)
-        reader = make_reader(sock, self._make_caller_handler(service.number))
+        reader = make_datagram_reader(
+            sock, self._make_caller_handler(service.number)
+        )
         self.loop.add_reader(sock, reader)
         stack.callback(self.loop.remove_reader, sock)
         self.listeners[service.number] = _Listener(sock, stack)
--- a/packages/keelgap-balancer/src/keelgap_balancer/forwarding.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/forwarding.py
@@ -8,7 +8,7 @@
 
 from keelgap.addresses import UNSPECIFIED, Address, pack_address
 from keelgap.routing.connection_ids import FlowOwner
-from keelgap.routing.rendezvous import Weighted, rank
+from keelgap.routing.rendezvous import WeightedSeed, rank_members
 from keelgap.wire.encapsulation import MAX_CANDIDATES, Envelope, MessageKind
 from keelgap.wire.exceptions import (
     ForeignService,
@@ -110,7 +110,7 @@
     eligible = state.takers.get(service, ())
     # At most half of the upstreams are suspect, so that twice as many of them
     # include enough others.
-    ranked = rank(connection_id, eligible, MAX_CANDIDATES * 2)
+    ranked = rank_members(connection_id, eligible, MAX_CANDIDATES * 2)
     agents = [upstream.agent for upstream in ranked]
     agents.sort(key=state.health.is_suspect)
     return tuple(agents[:MAX_CANDIDATES])
@@ -146,11 +146,11 @@
     if not state.peers:
         return (SendEnvelope(agent, envelope),)
     weighted_peers = (
-        (Weighted(xxh3_64_intdigest(pack_address(peer)), 1), peer)
+        (WeightedSeed(xxh3_64_intdigest(pack_address(peer)), 1), peer)
         for peer in state.peers
     )
     key = b'%s%d' % (pack_address(agent), int(now))
-    peer = rank(key, weighted_peers, 1)[0]
+    peer = rank_members(key, weighted_peers, 1)[0]
     detour = envelope._replace(
         kind=MessageKind.DETOUR,
         via=agent,
--- a/packages/keelgap-balancer/src/keelgap_balancer/membership.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/membership.py
@@ -3,7 +3,7 @@
 from xxhash import xxh3_64_intdigest
 
 from keelgap.addresses import Address
-from keelgap.routing.rendezvous import Weighted
+from keelgap.routing.rendezvous import WeightedSeed
 from keelgap.table import EMPTY_TABLE, Service, Table, Upstream
 from keelgap_balancer.defaults import OWNER_MEMORY_SECONDS
 from keelgap_balancer.effects import BalancerEffect, CloseService, OpenService
@@ -35,7 +35,7 @@
     if event.instances.revision <= state.instances.revision:
         return ()
     state.instances = event.instances
-    peers = event.instances.select_data('balancer', 'live')
+    peers = event.instances.select_data_addresses('balancer', 'live')
     state.peers = tuple(sorted(peers - {state.address}))
     _update_owners(state, event.now)
     _update_eligible(state, state.table)
@@ -97,7 +97,7 @@
 
     A change of the leaving agents updates all services.
     """
-    leaving = state.instances.select_data('agent', 'leaving')
+    leaving = state.instances.select_data_addresses('agent', 'leaving')
     if leaving != state.leaving:
         before = EMPTY_TABLE
     state.leaving = leaving
@@ -123,4 +123,4 @@
 
 def _add_weight(upstream: Upstream) -> RankedUpstream:
     seed = xxh3_64_intdigest(upstream.name.encode())
-    return Weighted(seed, upstream.weight), upstream
+    return WeightedSeed(seed, upstream.weight), upstream
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
@@ -24,7 +24,7 @@
 )
 from keelgap.packets.sockets import PacketSockets
 from keelgap.runtime.pages import Page, make_ready_page, serve_pages
-from keelgap.sockets import make_reader, send_datagram
+from keelgap.sockets import make_datagram_reader, send_datagram
 from keelgap_balancer.packets import defaults
 from keelgap_balancer.packets.balancer_infos import BalancerInfoTable
 from keelgap_balancer.packets.conf import BalancerPacketSettings
@@ -151,11 +151,13 @@
         self.catalog.start(store)
         loop.add_reader(
             self.caller_socket,
-            make_reader(self.caller_socket, self._handle_caller_packet),
+            make_datagram_reader(
+                self.caller_socket, self._handle_caller_packet
+            ),
         )
         loop.add_reader(
             self.peer_socket,
-            make_reader(self.peer_socket, self._handle_peer_message),
+            make_datagram_reader(self.peer_socket, self._handle_peer_message),
         )
         listen = self.settings.listen
         ready = parse_address(listen.ready)
--- a/packages/keelgap-balancer/src/keelgap_balancer/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/server.py
@@ -11,12 +11,12 @@
     start_admin,
 )
 from keelgap.control.messages import Delivery
-from keelgap.dissemination.state import Parsed
+from keelgap.dissemination.state import ParsedDocument
 from keelgap.keys import load_keys
 from keelgap.metrics import SharedMetrics
 from keelgap.plane import (
     ControlPlane,
-    PlaneSettings,
+    ControlPlaneSettings,
     make_incarnation,
     start_control_plane,
 )
@@ -63,19 +63,25 @@
         instance = self.settings.instance
         listen = self.settings.listen
         data_address = Address(instance.address, listen.data_port)
-        state = BalancerState(data_address, self.keys.make_connection_ids())
-        envelopes = self.keys.make_envelopes(make_incarnation(), data_address)
+        state = BalancerState(
+            data_address, self.keys.make_connection_id_codec()
+        )
+        envelopes = self.keys.make_envelope_codec(
+            make_incarnation(), data_address
+        )
         self.driver = BalancerDriver(state, envelopes, self.metrics)
         self.driver.start(stack.enter_context(ExitStack()))
         self.plane = await start_control_plane(
-            PlaneSettings(instance, listen, self.settings.config_service),
+            ControlPlaneSettings(
+                instance, listen, self.settings.config_service
+            ),
             self.keys,
             self.metrics,
             self._handle_change,
             self._count_stray_message,
             stack,
         )
-        self.driver.on_revision_seen = self.plane.dissemination.note_revision
+        self.driver.on_revision_seen = self.plane.dissemination.handle_revision
         timer = asyncio.create_task(self.driver.run_timer())
         stack.callback(timer.cancel)
         await start_admin(
@@ -142,7 +148,7 @@
             self.loop.time(),
         )
 
-    def _handle_change(self, parsed: Parsed) -> None:
+    def _handle_change(self, parsed: ParsedDocument) -> None:
         now = self.loop.time()
         if isinstance(parsed, Table):
             self.driver.dispatch(TableChanged(now, parsed))
--- a/packages/keelgap-balancer/src/keelgap_balancer/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/state.py
@@ -7,13 +7,13 @@
 from keelgap.addresses import Address
 from keelgap.instances import NO_INSTANCES, InstanceList
 from keelgap.routing.connection_ids import ConnectionIdCodec
-from keelgap.routing.rendezvous import Weighted
+from keelgap.routing.rendezvous import WeightedSeed
 from keelgap.table import EMPTY_TABLE, Table, Upstream
 from keelgap_balancer.health import HealthMap
 
 __all__ = ('BalancerState', 'RankedUpstream')
 
-RankedUpstream = tuple[Weighted, Upstream]
+RankedUpstream = tuple[WeightedSeed, Upstream]
 
 
 class BalancerState:
--- a/packages/keelgap-standins/src/keelgap_standins/fabric.py
+++ b/packages/keelgap-standins/src/keelgap_standins/fabric.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from keelgap.addresses import Address
-from keelgap.sockets import bind_datagram, make_reader, send_datagram
+from keelgap.sockets import bind_datagram, make_datagram_reader, send_datagram
 
 __all__ = ('Fabric',)
 
@@ -51,7 +51,7 @@
         on_datagram: Callable[[bytes, tuple[str, int]], None],
     ) -> None:
         self.stack.callback(sock.close)
-        self.loop.add_reader(sock, make_reader(sock, on_datagram))
+        self.loop.add_reader(sock, make_datagram_reader(sock, on_datagram))
         self.stack.callback(self.loop.remove_reader, sock)
 
     def _make_caller_reader(
--- a/packages/keelgap-standins/src/keelgap_standins/gossip.py
+++ b/packages/keelgap-standins/src/keelgap_standins/gossip.py
@@ -16,7 +16,7 @@
 from keelgap.addresses import Address
 from keelgap.control.messages import encode_message
 from keelgap.dissemination import defaults
-from keelgap.dissemination.driver import make_checkers
+from keelgap.dissemination.driver import make_parsers
 from keelgap.dissemination.effects import (
     DisseminationEffect,
     PutInForce,
@@ -33,7 +33,7 @@
 from keelgap.dissemination.state import (
     DisseminationIdentity,
     DisseminationState,
-    DocumentNames,
+    DocumentKeys,
 )
 
 __all__ = (
@@ -46,7 +46,7 @@
     'start_net',
 )
 
-_DOCUMENT_KEYS: Final = DocumentNames()
+_DOCUMENT_KEYS: Final = DocumentKeys()
 TABLE_KEY, INSTANCES_KEY = _DOCUMENT_KEYS
 #: Mean one-way delay of a message, as between availability zones.
 _ZONE_DELAY_SECONDS: Final = 0.0015
@@ -114,13 +114,13 @@
         control: Address,
         zone: str,
         seeds: tuple[Address, ...] = (),
-        names: DocumentNames = _DOCUMENT_KEYS,
+        document_keys: DocumentKeys = _DOCUMENT_KEYS,
     ) -> Process:
         """Add a process and start its timer."""
-        identity = DisseminationIdentity(control, zone, seeds, names)
+        identity = DisseminationIdentity(control, zone, seeds, document_keys)
         random = Random(self.random.getrandbits(32))
-        checkers = make_checkers(identity.names)
-        state = DisseminationState(identity, checkers, random, self.now)
+        parsers = make_parsers(identity.document_keys)
+        state = DisseminationState(identity, parsers, random, self.now)
         process = Process(state)
         self.processes[control] = process
         self._call_later(
--- a/packages/keelgap/src/keelgap/addresses.py
+++ b/packages/keelgap/src/keelgap/addresses.py
@@ -8,7 +8,7 @@
 from keelgap.exceptions import KeelgapError
 
 __all__ = (
-    'PACKED_LENGTH',
+    'PACKED_ADDRESS_LENGTH',
     'UNSPECIFIED',
     'Address',
     'InvalidAddress',
@@ -18,7 +18,7 @@
 )
 
 #: Length of a packed address: four octets of IPv4 and two of port.
-PACKED_LENGTH: Final = 6
+PACKED_ADDRESS_LENGTH: Final = 6
 _CACHE_SIZE: Final = 65536
 _MAX_PORT: Final = 65535
 _PORT = struct.Struct('!H')
--- a/packages/keelgap/src/keelgap/admin.py
+++ b/packages/keelgap/src/keelgap/admin.py
@@ -9,7 +9,7 @@
 from prometheus_client import CONTENT_TYPE_LATEST, generate_latest
 
 from keelgap.addresses import Address
-from keelgap.dissemination.state import DisseminationState, Held
+from keelgap.dissemination.state import DisseminationState, HeldDocument
 from keelgap.exceptions import PortInUse
 from keelgap.metrics import SharedMetrics
 
@@ -72,7 +72,7 @@
     now: float,
 ) -> TableReport:
     """Return the status of this process and the table it works with."""
-    held = state.held[state.identity.names.table]
+    held = state.held[state.identity.document_keys.table]
     return TableReport(
         **make_status_report(name, state, now),
         content=held.document.decoded,
@@ -85,28 +85,28 @@
     now: float,
 ) -> StatusReport:
     """Return the status without rows; its size is independent of the table."""
-    names = state.identity.names
+    document_keys = state.identity.document_keys
     return StatusReport(
         name=name,
         reading=state.reading,
         joined=state.joined,
-        table=_describe(state.held[names.table], now),
-        instances=_describe(state.held[names.instances], now),
+        table=_describe(state.held[document_keys.table], now),
+        instances=_describe(state.held[document_keys.instances], now),
     )
 
 
-def _describe(held: Held, now: float) -> DocumentReport:
+def _describe(held: HeldDocument, now: float) -> DocumentReport:
     version = held.document.version
     return DocumentReport(
         revision=version.revision,
         digest=version.digest,
-        in_force_seconds=now - held.since if held.parsed else None,
+        in_force_seconds=now - held.in_force_since if held.parsed else None,
         highest_heard=held.highest_heard.revision,
         refused=_describe_refused(held, now),
     )
 
 
-def _describe_refused(held: Held, now: float) -> RefusedReport | None:
+def _describe_refused(held: HeldDocument, now: float) -> RefusedReport | None:
     refused = held.refused
     if refused is None:
         return None
--- a/packages/keelgap/src/keelgap/control/messages.py
+++ b/packages/keelgap/src/keelgap/control/messages.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from keelgap.addresses import (
-    PACKED_LENGTH,
+    PACKED_ADDRESS_LENGTH,
     Address,
     pack_address,
     unpack_address,
@@ -37,7 +37,7 @@
 
 VERSION_MAJOR: Final = 1
 VERSION_MINOR: Final = 0
-_HEADER = struct.Struct(f'!BB{PACKED_LENGTH}s')
+_HEADER = struct.Struct(f'!BB{PACKED_ADDRESS_LENGTH}s')
 #: Maximum length of a body in octets: leaves room for a table of several
 #: parts.
 _MAX_BODY_LENGTH: Final = 8 * 1024 * 1024
--- a/packages/keelgap/src/keelgap/dissemination/acceptance.py
+++ b/packages/keelgap/src/keelgap/dissemination/acceptance.py
@@ -23,11 +23,15 @@
 )
 from keelgap.dissemination.events import DocumentRead
 from keelgap.dissemination.neighbours import choose_neighbours, is_reader
-from keelgap.dissemination.state import DisseminationState, Held, Refused
+from keelgap.dissemination.state import (
+    DisseminationState,
+    HeldDocument,
+    RefusedDocument,
+)
 from keelgap.exceptions import Fault, TableRefused
 from keelgap.instances import InstanceList
 
-__all__ = ('accept_document', 'make_announce', 'take_read')
+__all__ = ('accept_document', 'make_announce', 'handle_document_read')
 
 Effects = tuple[DisseminationEffect, ...]
 _NOT_LATER: Final = 'keelgap.E017'
@@ -43,7 +47,9 @@
     return Announce(versions, wants_reply)
 
 
-def take_read(state: DisseminationState, event: DocumentRead) -> Effects:
+def handle_document_read(
+    state: DisseminationState, event: DocumentRead
+) -> Effects:
     """Handle a document that the configuration service returned."""
     try:
         document = load_document(event.content)
@@ -75,12 +81,12 @@
 
 
 def _refuse_document(
-    held: Held,
+    held: HeldDocument,
     event: DocumentRead,
     document: Document,
     faults: tuple[Fault, ...],
 ) -> Effects:
-    held.refused = Refused(document.version, event.now, faults)
+    held.refused = RefusedDocument(document.version, event.now, faults)
     return (ReportRefusal(event.key, held.refused),)
 
 
@@ -100,14 +106,14 @@
     if document.version <= held.document.version:
         return ()
     try:
-        parsed = state.checkers[key](document)
+        parsed = state.parsers[key](document)
     except TableRefused as refusal:
         event = DocumentRead(now, key, document.content)
         return _refuse_document(held, event, document, refusal.faults)
     before = held.document
     held.document = document
     held.parsed = parsed
-    held.since = now
+    held.in_force_since = now
     held.highest_heard = max(held.highest_heard, document.version)
     announcements: Effects = ()
     if isinstance(parsed, InstanceList):
@@ -135,7 +141,7 @@
     message = make_announce(state, wants_reply=False)
     if delta is not None:
         state.held[key].history.append(delta)
-        if len(delta.changes) <= defaults.MAX_PUSHED:
+        if len(delta.changes) <= defaults.MAX_PUSHED_DELTA_LENGTH:
             message = delta
     return tuple(SendMessage(peer, message) for peer in state.neighbours)
 
@@ -148,11 +154,11 @@
     state.instances = instances
     neighbours = choose_neighbours(state.identity, instances)
     state.neighbours = neighbours or state.identity.seeds
-    state.chosen_reader = is_reader(state.identity, instances)
-    state.control_by_data = {
+    state.is_elected_reader = is_reader(state.identity, instances)
+    state.control_addresses = {
         instance.data: instance.control for instance in instances.instances
     }
-    if state.joined or state.heard_peer_at is not None:
+    if state.joined or state.last_message_at is not None:
         return ()
     announce = make_announce(state, wants_reply=True)
     return tuple(SendMessage(peer, announce) for peer in state.neighbours)
--- a/packages/keelgap/src/keelgap/dissemination/defaults.py
+++ b/packages/keelgap/src/keelgap/dissemination/defaults.py
@@ -5,12 +5,12 @@
 __all__ = (
     'ANTI_ENTROPY_SECONDS',
     'ANTI_ENTROPY_SPREAD',
-    'FALLBACK_SECONDS',
+    'PEER_TIMEOUT_SECONDS',
     'FETCH_RETRY_SECONDS',
-    'HISTORY',
-    'JOIN_SECONDS',
+    'MAX_DELTA_HISTORY',
+    'JOIN_TIMEOUT_SECONDS',
     'LOCAL_NEIGHBOURS',
-    'MAX_PUSHED',
+    'MAX_PUSHED_DELTA_LENGTH',
     'READER_COUNT',
     'REMOTE_NEIGHBOURS',
     'TIMER_SECONDS',
@@ -39,18 +39,18 @@
 FETCH_RETRY_SECONDS: Final = 0.5
 
 #: Deltas kept for each document, for peers that missed some.
-HISTORY: Final = 32
+MAX_DELTA_HISTORY: Final = 32
 
 #: Maximum length in octets of the deltas that are sent without a request.
-MAX_PUSHED: Final = 4096
+MAX_PUSHED_DELTA_LENGTH: Final = 4096
 
 #: How long a joining process waits for its peers before it puts in force what
 #: it holds.
-JOIN_SECONDS: Final = 1.0
+JOIN_TIMEOUT_SECONDS: Final = 1.0
 
 #: A process that received no message from a peer for this time reads the
 #: configuration service itself.
-FALLBACK_SECONDS: Final = 10.0
+PEER_TIMEOUT_SECONDS: Final = 10.0
 
 #: Period of the driver's timer.
 TIMER_SECONDS: Final = 0.1
--- a/packages/keelgap/src/keelgap/dissemination/driver.py
+++ b/packages/keelgap/src/keelgap/dissemination/driver.py
@@ -29,20 +29,20 @@
 from keelgap.dissemination.reducer import reduce
 from keelgap.dissemination.source import DocumentReader
 from keelgap.dissemination.state import (
-    Checker,
     DisseminationState,
-    DocumentNames,
-    Parsed,
+    DocumentKeys,
+    DocumentParser,
+    ParsedDocument,
 )
 from keelgap.instances import InstanceList, InstanceLoader
 from keelgap.logs import logger
 from keelgap.metrics import SharedMetrics
 from keelgap.table import Table, TableLoader
 
-__all__ = ('DisseminationDriver', 'make_checkers')
+__all__ = ('DisseminationDriver', 'make_parsers')
 
 
-def make_table_checker() -> Checker:
+def make_table_parser() -> DocumentParser:
     """Return a parser of tables that reuses the result of unchanged rows."""
     loader = TableLoader()
 
@@ -52,7 +52,7 @@
     return parse_table
 
 
-def make_instances_checker() -> Checker:
+def make_instances_parser() -> DocumentParser:
     """Return a parser of instance lists that reuses unchanged instances."""
     loader = InstanceLoader()
 
@@ -62,11 +62,11 @@
     return parse_instances
 
 
-def make_checkers(names: DocumentNames) -> Mapping[str, Checker]:
+def make_parsers(document_keys: DocumentKeys) -> Mapping[str, DocumentParser]:
     """Return the parsers of the exchanged documents, by key."""
     return MappingProxyType({
-        names.table: make_table_checker(),
-        names.instances: make_instances_checker(),
+        document_keys.table: make_table_parser(),
+        document_keys.instances: make_instances_parser(),
     })
 
 
@@ -79,7 +79,7 @@
         channel: ControlChannel,
         reader: DocumentReader,
         metrics: SharedMetrics,
-        on_change: Callable[[Parsed], None],
+        on_change: Callable[[ParsedDocument], None],
     ) -> None:
         """Pass each document that comes into force to on_change."""
         self.state = state
@@ -115,14 +115,14 @@
         self._dispatch(MessageReceived(now, delivery.sender, message))
         return True
 
-    def note_revision(self, sender: Address, revision: int) -> None:
+    def handle_revision(self, sender: Address, revision: int) -> None:
         """Handle the table revision carried by the traffic of a process."""
-        held = self.state.held[self.state.identity.names.table]
+        held = self.state.held[self.state.identity.document_keys.table]
         if revision > held.document.version.revision:
             now = self.loop.time()
             self._dispatch(RevisionSeen(now, sender, revision))
 
-    def note_document(self, key: str, content: bytes) -> None:
+    def handle_document(self, key: str, content: bytes) -> None:
         """Handle a document that the configuration service returned."""
         self._dispatch(DocumentRead(self.loop.time(), key, content))
 
@@ -139,7 +139,7 @@
 
     def _put_in_force(self, effect: PutInForce) -> None:
         version = effect.document.version
-        if effect.key == self.state.identity.names.table:
+        if effect.key == self.state.identity.document_keys.table:
             self.metrics.table_revision.set(version.revision)
         self.on_change(effect.parsed)
         logger.bind(
@@ -166,7 +166,7 @@
         if effect.wanted:
             self.watches = [
                 asyncio.create_task(self.reader.watch(key))
-                for key in self.state.identity.names
+                for key in self.state.identity.document_keys
             ]
 
     def _stop_watches(self) -> None:
--- a/packages/keelgap/src/keelgap/dissemination/effects.py
+++ b/packages/keelgap/src/keelgap/dissemination/effects.py
@@ -5,7 +5,7 @@
 from keelgap.addresses import Address
 from keelgap.dissemination.documents import Document
 from keelgap.dissemination.events import DisseminationMessage
-from keelgap.dissemination.state import Parsed, Refused
+from keelgap.dissemination.state import ParsedDocument, RefusedDocument
 
 __all__ = (
     'Count',
@@ -22,14 +22,14 @@
 
     key: str
     document: Document
-    parsed: Parsed
+    parsed: ParsedDocument
 
 
 class ReportRefusal(NamedTuple):
     """Report a refused document; the version in force is unchanged."""
 
     key: str
-    refused: Refused
+    refused: RefusedDocument
 
 
 class SendMessage(NamedTuple):
--- a/packages/keelgap/src/keelgap/dissemination/neighbours.py
+++ b/packages/keelgap/src/keelgap/dissemination/neighbours.py
@@ -6,7 +6,7 @@
 from keelgap.dissemination import defaults
 from keelgap.dissemination.state import DisseminationIdentity
 from keelgap.instances import Instance, InstanceList
-from keelgap.routing.rendezvous import Weighted, rank
+from keelgap.routing.rendezvous import WeightedSeed, rank_members
 
 __all__ = ('choose_neighbours', 'is_reader')
 
@@ -18,12 +18,12 @@
 ) -> list[Address]:
     members = (
         (
-            Weighted(int.from_bytes(pack_address(instance.control)), 1),
+            WeightedSeed(int.from_bytes(pack_address(instance.control)), 1),
             instance.control,
         )
         for instance in instances
     )
-    return rank(key, members, count)
+    return rank_members(key, members, count)
 
 
 def is_reader(
--- a/packages/keelgap/src/keelgap/dissemination/reducer.py
+++ b/packages/keelgap/src/keelgap/dissemination/reducer.py
@@ -56,7 +56,7 @@
     state: DisseminationState,
     event: MessageReceived,
 ) -> Effects:
-    state.heard_peer_at = event.now
+    state.last_message_at = event.now
     handler = _MESSAGE_HANDLERS[type(event.message)]
     return handler(state, event, event.message)
 
@@ -97,7 +97,7 @@
         if held is not None and held.document.version > peer_version:
             deltas = _find_deltas(tuple(held.history), peer_version)
             octets = sum(len(delta.changes) for delta in deltas)
-            if octets <= defaults.MAX_PUSHED:
+            if octets <= defaults.MAX_PUSHED_DELTA_LENGTH:
                 effects.extend(SendMessage(peer, delta) for delta in deltas)
     return tuple(effects)
 
@@ -109,9 +109,9 @@
     now: float,
 ) -> Effects:
     held = state.held[key]
-    if now - held.fetched_at < defaults.FETCH_RETRY_SECONDS:
+    if now - held.last_fetch_at < defaults.FETCH_RETRY_SECONDS:
         return ()
-    held.fetched_at = now
+    held.last_fetch_at = now
     return (SendMessage(peer, Fetch(key, held.document.version)),)
 
 
@@ -147,7 +147,7 @@
 ) -> Effects:
     if message.key not in state.held:
         return (Count('unknown_key'),)
-    state.held[message.key].fetched_at = float('-inf')
+    state.held[message.key].last_fetch_at = float('-inf')
     try:
         document = load_document(message.content)
     except UnusableDocument as error:
@@ -172,7 +172,7 @@
         document = apply_changes(held.document, message.changes)
     except UnusableDocument as error:
         return (Count(error.code),)
-    held.fetched_at = float('-inf')
+    held.last_fetch_at = float('-inf')
     if document.version != message.target:
         return (Count('delta_mismatch'),)
     return acceptance.accept_document(
@@ -187,11 +187,11 @@
     latest one, as in the revision gate of "The write succeeded, then the old
     value came back".
     """
-    table_key = state.identity.names.table
+    table_key = state.identity.document_keys.table
     held = state.held[table_key]
     if event.revision <= held.document.version.revision:
         return ()
-    control = state.control_by_data.get(event.sender)
+    control = state.control_addresses.get(event.sender)
     if control is None:
         return ()
     fetch = _fetch(state, table_key, control, event.now)
@@ -202,28 +202,28 @@
     return (
         *_update_reading(state, event.now),
         *_retry_fetches(state, event.now),
-        *_exchange(state, event.now),
+        *_exchange_versions(state, event.now),
         *_complete_joining(state, event.now),
     )
 
 
 def _update_reading(state: DisseminationState, now: float) -> Effects:
-    last_message_at = state.heard_peer_at
-    reference = state.started if last_message_at is None else last_message_at
-    is_isolated = now - reference >= defaults.FALLBACK_SECONDS
+    last_message_at = state.last_message_at
+    reference = state.started_at if last_message_at is None else last_message_at
+    is_isolated = now - reference >= defaults.PEER_TIMEOUT_SECONDS
     is_joining = not state.joined
-    wanted = state.chosen_reader or is_isolated or is_joining
+    wanted = state.is_elected_reader or is_isolated or is_joining
     if wanted == state.reading:
         return ()
     state.reading = wanted
     return (Read(wanted),)
 
 
-def _exchange(state: DisseminationState, now: float) -> Effects:
-    if now < state.exchange_at or not state.neighbours:
+def _exchange_versions(state: DisseminationState, now: float) -> Effects:
+    if now < state.next_exchange_at or not state.neighbours:
         return ()
     spread = state.random.uniform(*defaults.ANTI_ENTROPY_SPREAD)
-    state.exchange_at = now + defaults.ANTI_ENTROPY_SECONDS * spread
+    state.next_exchange_at = now + defaults.ANTI_ENTROPY_SECONDS * spread
     peer = state.random.choice(state.neighbours)
     return (
         SendMessage(peer, acceptance.make_announce(state, wants_reply=True)),
@@ -243,11 +243,11 @@
 
 def _complete_joining(state: DisseminationState, now: float) -> Effects:
     """Complete joining once the highest announced versions are held."""
-    table_key = state.identity.names.table
+    table_key = state.identity.document_keys.table
     if state.joined or not state.held[table_key].document.content:
         return ()
-    is_timed_out = now - state.started >= defaults.JOIN_SECONDS
-    has_heard_peers = state.heard_peer_at is not None or not state.neighbours
+    is_timed_out = now - state.started_at >= defaults.JOIN_TIMEOUT_SECONDS
+    has_heard_peers = state.last_message_at is not None or not state.neighbours
     is_current = all(
         held.document.version >= held.highest_heard
         for held in state.held.values()
@@ -266,7 +266,7 @@
     type,
     Callable[[DisseminationState, Any], Effects],
 ]({
-    DocumentRead: acceptance.take_read,
+    DocumentRead: acceptance.handle_document_read,
     MessageReceived: _handle_message,
     RevisionSeen: _handle_revision,
     TimerFired: _handle_timer,
--- a/packages/keelgap/src/keelgap/dissemination/source.py
+++ b/packages/keelgap/src/keelgap/dissemination/source.py
@@ -13,7 +13,7 @@
 import aiohttp
 
 from keelgap.conf import ConfigServiceSettings
-from keelgap.table.loader import MAX_DOCUMENT
+from keelgap.table.loader import MAX_DOCUMENT_LENGTH
 from keelgap.table.parts import PartMismatch, join_parts, list_parts
 
 __all__ = ('DocumentReader', 'INDEX_HEADER')
@@ -42,9 +42,9 @@
     content = bytearray()
     async for chunk in response.content.iter_any():
         content.extend(chunk)
-        if len(content) > MAX_DOCUMENT:
+        if len(content) > MAX_DOCUMENT_LENGTH:
             break
-    return bytes(content[: MAX_DOCUMENT + 1])
+    return bytes(content[: MAX_DOCUMENT_LENGTH + 1])
 
 
 class DocumentReader:
--- a/packages/keelgap/src/keelgap/dissemination/state.py
+++ b/packages/keelgap/src/keelgap/dissemination/state.py
@@ -14,22 +14,22 @@
 from keelgap.table import Table
 
 __all__ = (
-    'Checker',
+    'DocumentParser',
     'DisseminationIdentity',
     'DisseminationState',
-    'DocumentNames',
-    'Held',
-    'Parsed',
-    'Refused',
+    'DocumentKeys',
+    'HeldDocument',
+    'ParsedDocument',
+    'RefusedDocument',
 )
 
 #: The parsed form of a document, which the rest of the process uses.
-Parsed = Table | InstanceList
+ParsedDocument = Table | InstanceList
 #: Parses a document, or raises TableRefused if it is invalid.
-Checker = Callable[[Document], Parsed]
+DocumentParser = Callable[[Document], ParsedDocument]
 
 
-class DocumentNames(NamedTuple):
+class DocumentKeys(NamedTuple):
     """Keys under which processes exchange documents.
 
     They are also the keys of the configuration service.  Processes that use
@@ -49,10 +49,10 @@
     #: Control addresses of the peers to contact before a list of instances is
     #: known.
     seeds: tuple[Address, ...] = ()
-    names: DocumentNames = DocumentNames()
+    document_keys: DocumentKeys = DocumentKeys()
 
 
-class Refused(NamedTuple):
+class RefusedDocument(NamedTuple):
     """The last document that was refused, for the status pages."""
 
     version: DocumentVersion
@@ -60,20 +60,22 @@
     faults: tuple[Fault, ...]
 
 
-class Held:
+class HeldDocument:
     """The document that a process holds under one key."""
 
     def __init__(self) -> None:
         """Start without a document."""
         self.document: Document = NO_DOCUMENT
-        self.parsed: Parsed | None = None
+        self.parsed: ParsedDocument | None = None
         #: Time at which the document came into force.
-        self.since = float('-inf')
-        self.refused: Refused | None = None
+        self.in_force_since = float('-inf')
+        self.refused: RefusedDocument | None = None
         #: Deltas that lead to the current document, oldest first.
-        self.history: deque[DocumentDelta] = deque(maxlen=defaults.HISTORY)
+        self.history: deque[DocumentDelta] = deque(
+            maxlen=defaults.MAX_DELTA_HISTORY
+        )
         self.highest_heard = NO_DOCUMENT.version
-        self.fetched_at = float('-inf')
+        self.last_fetch_at = float('-inf')
 
 
 class DisseminationState:
@@ -82,22 +84,22 @@
     def __init__(
         self,
         identity: DisseminationIdentity,
-        checkers: Mapping[str, Checker],
+        parsers: Mapping[str, DocumentParser],
         random: Random,
         now: float,
     ) -> None:
         """Start without documents, with one entry for each parser."""
         self.identity = identity
-        self.checkers = checkers
+        self.parsers = parsers
         self.random = random
-        self.started = now
-        self.held = {key: Held() for key in checkers}
+        self.started_at = now
+        self.held = {key: HeldDocument() for key in parsers}
         self.instances: InstanceList = NO_INSTANCES
         self.neighbours: tuple[Address, ...] = identity.seeds
-        self.control_by_data: dict[Address, Address] = {}
-        self.chosen_reader = False
+        self.control_addresses: dict[Address, Address] = {}
+        self.is_elected_reader = False
         self.reading = False
         #: False while a joining process does not put documents in force yet.
         self.joined = False
-        self.heard_peer_at: float | None = None
-        self.exchange_at = now
+        self.last_message_at: float | None = None
+        self.next_exchange_at = now
--- a/packages/keelgap/src/keelgap/instances.py
+++ b/packages/keelgap/src/keelgap/instances.py
@@ -55,7 +55,7 @@
     revision: int
     instances: tuple[Instance, ...]
 
-    def select_data(
+    def select_data_addresses(
         self, role: Role, state: InstanceState
     ) -> frozenset[Address]:
         """Return the data addresses of the instances of a role and state."""
@@ -81,15 +81,16 @@
         """Start without a previous version."""
         #: The last accepted rows; the references keep their ids from being
         #: reused.
-        self.accepted: list[object] = []
-        self.built: dict[int, Instance] = {}
+        self.accepted_rows: list[object] = []
+        self.instances_by_row_id: dict[int, Instance] = {}
 
     def load(self, decoded: object) -> InstanceList:
         """Convert a decoded document; raise TableRefused if it is invalid."""
         try:
             document = msgspec.convert(decoded, _InstanceDocument)
-            built = {
-                id(row): self.built.get(id(row)) or _make_instance(row)
+            instances_by_row_id = {
+                id(row): self.instances_by_row_id.get(id(row))
+                or _make_instance(row)
                 for row in document['instances']
             }
         except msgspec.ValidationError as error:
@@ -101,9 +102,11 @@
                     'the platform publishes this list; see docs/ref/table.md',
                 ),
             )) from error
-        self.built = built
-        self.accepted = document['instances']
-        return InstanceList(document['revision'], tuple(built.values()))
+        self.instances_by_row_id = instances_by_row_id
+        self.accepted_rows = document['instances']
+        return InstanceList(
+            document['revision'], tuple(instances_by_row_id.values())
+        )
 
 
 def _make_instance(raw: object) -> Instance:
--- a/packages/keelgap/src/keelgap/keys.py
+++ b/packages/keelgap/src/keelgap/keys.py
@@ -6,7 +6,10 @@
 from keelgap.addresses import Address
 from keelgap.conf import KeySettings
 from keelgap.exceptions import Fault, ImproperlyConfigured
-from keelgap.routing.connection_ids import KEY_LENGTH, ConnectionIdCodec
+from keelgap.routing.connection_ids import (
+    CONNECTION_ID_KEY_LENGTH,
+    ConnectionIdCodec,
+)
 from keelgap.wire.encapsulation import EnvelopeCodec
 
 __all__ = ('FleetKeys', 'load_keys')
@@ -31,14 +34,14 @@
     curve_public: bytes
     curve_secret: bytes
 
-    def make_connection_ids(self) -> ConnectionIdCodec:
+    def make_connection_id_codec(self) -> ConnectionIdCodec:
         """Return a codec for connection ids that uses these keys."""
         return ConnectionIdCodec(
             self.connection_ids,
             self.connection_ids_issue,
         )
 
-    def make_envelopes(
+    def make_envelope_codec(
         self,
         incarnation: int,
         address: Address,
@@ -103,7 +106,7 @@
         reader.read_pair(
             'keys.connection_ids',
             (settings.connection_ids_first, settings.connection_ids_second),
-            KEY_LENGTH,
+            CONNECTION_ID_KEY_LENGTH,
         ),
         settings.connection_ids_issue,
         reader.read_pair(
--- a/packages/keelgap/src/keelgap/plane.py
+++ b/packages/keelgap/src/keelgap/plane.py
@@ -17,13 +17,13 @@
 )
 from keelgap.control.channel import ControlChannel
 from keelgap.control.messages import Delivery
-from keelgap.dissemination.driver import DisseminationDriver, make_checkers
+from keelgap.dissemination.driver import DisseminationDriver, make_parsers
 from keelgap.dissemination.source import DocumentReader
 from keelgap.dissemination.state import (
     DisseminationIdentity,
     DisseminationState,
-    DocumentNames,
-    Parsed,
+    DocumentKeys,
+    ParsedDocument,
 )
 from keelgap.exceptions import Fault, ImproperlyConfigured
 from keelgap.keys import FleetKeys
@@ -31,7 +31,7 @@
 
 __all__ = (
     'ControlPlane',
-    'PlaneSettings',
+    'ControlPlaneSettings',
     'make_incarnation',
     'start_control_plane',
 )
@@ -40,7 +40,7 @@
 _BAD_SEED: Final = 'keelgap.E024'
 
 
-class PlaneSettings(NamedTuple):
+class ControlPlaneSettings(NamedTuple):
     """The settings that the control plane uses."""
 
     instance: InstanceSettings
@@ -61,11 +61,11 @@
 
 
 async def start_control_plane(
-    settings: PlaneSettings,
+    settings: ControlPlaneSettings,
     keys: FleetKeys,
     metrics: SharedMetrics,
-    on_change: Callable[[Parsed], None],
-    on_other: Callable[[Delivery], None],
+    on_change: Callable[[ParsedDocument], None],
+    on_other_message: Callable[[Delivery], None],
     stack: AsyncExitStack,
 ) -> ControlPlane:
     """Bind the control port and start dissemination until the stack closes.
@@ -77,7 +77,7 @@
 
     def deliver(delivery: Delivery) -> None:
         if not driver.handle_delivery(delivery):
-            on_other(delivery)
+            on_other_message(delivery)
 
     def count_drop(reason: str) -> None:
         metrics.drops.labels(reason).inc()
@@ -91,18 +91,18 @@
 
 
 def _make_driver(
-    settings: PlaneSettings,
+    settings: ControlPlaneSettings,
     channel: ControlChannel,
     session: aiohttp.ClientSession,
     metrics: SharedMetrics,
-    on_change: Callable[[Parsed], None],
+    on_change: Callable[[ParsedDocument], None],
 ) -> DisseminationDriver:
     random = Random()  # noqa: S311
     identity = DisseminationIdentity(
         channel.address,
         settings.instance.availability_zone,
         _parse_seeds(settings.listen.seeds, channel.address),
-        DocumentNames(
+        DocumentKeys(
             settings.config_service.table_key,
             settings.config_service.instances_key,
         ),
@@ -110,11 +110,11 @@
     # All events use the clock of the event loop.
     now = asyncio.get_running_loop().time()
     state = DisseminationState(
-        identity, make_checkers(identity.names), random, now
+        identity, make_parsers(identity.document_keys), random, now
     )
 
     def on_document(key: str, content: bytes) -> None:
-        driver.note_document(key, content)
+        driver.handle_document(key, content)
 
     reader = DocumentReader(
         session,
--- a/packages/keelgap/src/keelgap/process.py
+++ b/packages/keelgap/src/keelgap/process.py
@@ -13,7 +13,7 @@
 from keelgap.exceptions import KeelgapError
 from keelgap.logs import logger
 
-__all__ = ('EXIT_BAD_SETTINGS', 'EXIT_FAULTS', 'Server', 'exit_on_error', 'run')
+__all__ = ('EXIT_BAD_SETTINGS', 'EXIT_FAULTS', 'Server', 'report_error', 'run')
 
 #: Exit status of a check that found faults.
 EXIT_FAULTS: Final = 1
@@ -31,7 +31,7 @@
         """Shut down gracefully."""
 
 
-def exit_on_error(error: KeelgapError) -> int:
+def report_error(error: KeelgapError) -> int:
     """Print an error without its traceback and return the exit status."""
     print(f'{error.code}: {error}', file=sys.stderr)  # noqa: WPS421
     return EXIT_BAD_SETTINGS
@@ -52,7 +52,7 @@
     try:
         uvloop.run(_run(make_server))
     except KeelgapError as error:
-        return exit_on_error(error)
+        return report_error(error)
     return 0
 
 
--- a/packages/keelgap/src/keelgap/readback.py
+++ b/packages/keelgap/src/keelgap/readback.py
@@ -9,7 +9,7 @@
 
 from keelgap.exceptions import KeelgapError
 
-__all__ = ('Reading', 'Unreachable', 'read_all', 'read_page')
+__all__ = ('PageResult', 'Unreachable', 'fetch_pages', 'fetch_page')
 
 _TIMEOUT: Final = aiohttp.ClientTimeout(total=5)
 
@@ -20,7 +20,7 @@
     code = 'unreachable'
 
 
-class Reading(NamedTuple):
+class PageResult(NamedTuple):
     """A page of one admin address, or the error if it was not available."""
 
     address: str
@@ -28,7 +28,7 @@
     error: Unreachable | None = None
 
 
-async def read_page(address: str, path: str) -> Any:
+async def fetch_page(address: str, path: str) -> Any:
     """Return the decoded JSON of a page, or raise Unreachable."""
     url = f'http://{address}{path}'
     try:
@@ -39,15 +39,17 @@
         raise Unreachable(f'{address}: {error}') from error
 
 
-async def read_all(addresses: Iterable[str], path: str) -> list[Reading]:
+async def fetch_pages(addresses: Iterable[str], path: str) -> list[PageResult]:
     """Fetch the same page of several processes concurrently."""
     return list(
-        await asyncio.gather(*(_try(address, path) for address in addresses))
+        await asyncio.gather(
+            *(_fetch_or_fail(address, path) for address in addresses)
+        )
     )
 
 
-async def _try(address: str, path: str) -> Reading:
+async def _fetch_or_fail(address: str, path: str) -> PageResult:
     try:
-        return Reading(address, await read_page(address, path))
+        return PageResult(address, await fetch_page(address, path))
     except Unreachable as error:
-        return Reading(address, None, error)
+        return PageResult(address, None, error)
--- a/packages/keelgap/src/keelgap/routing/connection_ids.py
+++ b/packages/keelgap/src/keelgap/routing/connection_ids.py
@@ -24,10 +24,10 @@
 from keelgap.wire.exceptions import ForgedConnectionId
 from keelgap.wire.packets import CONNECTION_ID_LENGTH
 
-__all__ = ('KEY_LENGTH', 'ConnectionIdCodec', 'FlowOwner')
+__all__ = ('CONNECTION_ID_KEY_LENGTH', 'ConnectionIdCodec', 'FlowOwner')
 
 #: Length of an AES-128 key in octets.
-KEY_LENGTH: Final = 16
+CONNECTION_ID_KEY_LENGTH: Final = 16
 _BLOCK = struct.Struct('!6sH5s3s')
 _OWNER = struct.Struct('!6sH')
 _OWNER_LENGTH: Final = _OWNER.size
--- a/packages/keelgap/src/keelgap/routing/rendezvous.py
+++ b/packages/keelgap/src/keelgap/routing/rendezvous.py
@@ -11,7 +11,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-__all__ = ('Weighted', 'rank')
+__all__ = ('WeightedSeed', 'rank_members')
 
 _HASH_BITS: Final = 64
 _HASH_RANGE: Final = float(1 << _HASH_BITS)
@@ -19,16 +19,16 @@
 _MemberT = TypeVar('_MemberT')
 
 
-class Weighted(NamedTuple):
+class WeightedSeed(NamedTuple):
     """A member of a ranking: its hash seed and its weight."""
 
     seed: int
     weight: float
 
 
-def rank(
+def rank_members(
     key: bytes,
-    members: Iterable[tuple[Weighted, _MemberT]],
+    members: Iterable[tuple[WeightedSeed, _MemberT]],
     count: int,
 ) -> list[_MemberT]:
     """Return the highest-ranked members for a key, best first.
--- a/packages/keelgap/src/keelgap/sockets.py
+++ b/packages/keelgap/src/keelgap/sockets.py
@@ -8,7 +8,7 @@
 from keelgap.addresses import Address
 from keelgap.exceptions import PortInUse
 
-__all__ = ('bind_datagram', 'make_reader', 'send_datagram')
+__all__ = ('bind_datagram', 'make_datagram_reader', 'send_datagram')
 
 #: Datagrams read before control returns to the event loop.
 _BATCH_SIZE: Final = 64
@@ -33,7 +33,7 @@
     return sock
 
 
-def make_reader(
+def make_datagram_reader(
     sock: socket.socket,
     on_datagram: OnDatagram,
 ) -> Callable[[], None]:
--- a/packages/keelgap/src/keelgap/table/loader.py
+++ b/packages/keelgap/src/keelgap/table/loader.py
@@ -17,7 +17,7 @@
 )
 
 __all__ = (
-    'MAX_DOCUMENT',
+    'MAX_DOCUMENT_LENGTH',
     'TableLoader',
     'compute_digest',
     'load_document_table',
@@ -25,7 +25,7 @@
 )
 
 #: Maximum length of a value in the configuration service, in octets.
-MAX_DOCUMENT: Final = 1024 * 1024
+MAX_DOCUMENT_LENGTH: Final = 1024 * 1024
 _UPSTREAMS: Final = 'upstreams'
 _DIGEST_LENGTH: Final = 16
 
@@ -40,13 +40,13 @@
 
     Raises TableRefused with every fault found.
     """
-    if len(document) > MAX_DOCUMENT:
+    if len(document) > MAX_DOCUMENT_LENGTH:
         raise TableRefused((
             Fault(
                 'keelgap.E015',
                 'table',
                 f'the document has {len(document)} octets',
-                f'keep it within {MAX_DOCUMENT}, or use `keelgap split`',
+                f'keep it within {MAX_DOCUMENT_LENGTH}, or use `keelgap split`',
             ),
         ))
     return load_document_table(document)
@@ -72,9 +72,9 @@
         """Start without a previous version."""
         #: The last accepted document; the reference keeps the ids of its rows
         #: from being reused.
-        self.accepted: dict[str, Any] = {}
-        self.checked: frozenset[int] = frozenset()
-        self.built: dict[int, Upstream] = {}
+        self.accepted_document: dict[str, Any] = {}
+        self.checked_row_ids: frozenset[int] = frozenset()
+        self.upstreams_by_row_id: dict[int, Upstream] = {}
         self.table: Table = EMPTY_TABLE
 
     def load(self, decoded: Any, digest: str) -> Table:
@@ -83,13 +83,16 @@
         Raises TableRefused with every fault found.
         """
         faults = tuple(
-            check_document(decoded, lambda row: id(row) in self.checked),
+            check_document(
+                decoded, lambda row: id(row) in self.checked_row_ids
+            ),
         )
         if faults:
             raise TableRefused(faults)
         services = _make_services(decoded)
-        self.built = {
-            id(row): self.built.get(id(row)) or _make_upstream(row)
+        self.upstreams_by_row_id = {
+            id(row): self.upstreams_by_row_id.get(id(row))
+            or _make_upstream(row)
             for row in decoded[_UPSTREAMS]
         }
         table = Table(
@@ -111,7 +114,7 @@
             service.name: [] for service in services
         }
         for row in rows:
-            members[row['service']].append(self.built[id(row)])
+            members[row['service']].append(self.upstreams_by_row_id[id(row)])
         before = self.table.upstreams
         return {
             service.number: _reuse_if_equal(
@@ -123,9 +126,9 @@
 
     def _remember(self, decoded: dict[str, Any], table: Table) -> None:
         sections = ('services', 'classes', _UPSTREAMS)
-        self.accepted = decoded
+        self.accepted_document = decoded
         self.table = table
-        self.checked = frozenset(
+        self.checked_row_ids = frozenset(
             id(row)
             for section in sections
             for row in decoded.get(section) or ()
--- a/packages/keelgap/src/keelgap/table/parts.py
+++ b/packages/keelgap/src/keelgap/table/parts.py
@@ -13,7 +13,7 @@
 from keelgap.table.loader import compute_digest
 
 __all__ = (
-    'PART_OCTETS',
+    'MAX_PART_LENGTH',
     'Part',
     'PartMismatch',
     'join_parts',
@@ -23,7 +23,7 @@
 
 #: Maximum length in octets of the parts made by split_table; a value may have
 #: up to 1 MiB.
-PART_OCTETS: Final = 900000
+MAX_PART_LENGTH: Final = 900000
 _SECTIONS: Final = ('services', 'classes', 'upstreams')
 
 
@@ -106,7 +106,7 @@
     for section in _SECTIONS:
         for row in decoded.get(section) or ():
             length = len(msgspec.json.encode(row)) + 1
-            if octets + length > PART_OCTETS:
+            if octets + length > MAX_PART_LENGTH:
                 groups.append({})
                 octets = 0
             octets += length
--- a/packages/keelgap/src/keelgap/wire/encapsulation.py
+++ b/packages/keelgap/src/keelgap/wire/encapsulation.py
@@ -18,7 +18,7 @@
 from cryptography.hazmat.primitives.ciphers.aead import AESGCM
 
 from keelgap.addresses import (
-    PACKED_LENGTH,
+    PACKED_ADDRESS_LENGTH,
     UNSPECIFIED,
     Address,
     pack_address,
@@ -37,7 +37,7 @@
 
 __all__ = (
     'MAX_CANDIDATES',
-    'MAX_DATAGRAM',
+    'MAX_DATAGRAM_LENGTH',
     'OVERHEAD',
     'VERSION_MAJOR',
     'VERSION_MINOR',
@@ -53,7 +53,7 @@
 MAX_CANDIDATES: Final = 3
 #: Maximum length of an encapsulated datagram in octets; fits any Ethernet
 #: path.
-MAX_DATAGRAM: Final = 1472
+MAX_DATAGRAM_LENGTH: Final = 1472
 _MAC_LENGTH: Final = 16
 _HEADER = struct.Struct('!BBBBQQQHBB6s6s18s')
 #: Octets that encapsulation adds to a caller's datagram.
@@ -63,7 +63,7 @@
 _REVISION_OFFSET: Final = 20
 _NONCE_PREFIX: Final = bytes(4)
 _INCARNATION = struct.Struct('!Q')
-_NO_CANDIDATES: Final = bytes(MAX_CANDIDATES * PACKED_LENGTH)
+_NO_CANDIDATES: Final = bytes(MAX_CANDIDATES * PACKED_ADDRESS_LENGTH)
 
 
 class MessageKind(IntEnum):
@@ -285,7 +285,7 @@
 def _check_size_and_version(datagram: bytes) -> None:
     if len(datagram) < OVERHEAD:
         raise TruncatedDatagram
-    if len(datagram) > MAX_DATAGRAM:
+    if len(datagram) > MAX_DATAGRAM_LENGTH:
         raise OversizedDatagram
     if datagram[0] != VERSION_MAJOR:
         raise UnknownVersion
@@ -312,15 +312,15 @@
 
 def _pack_candidates(candidates: tuple[Address, ...]) -> bytes:
     packed = b''.join(map(pack_address, candidates))
-    return packed.ljust(MAX_CANDIDATES * PACKED_LENGTH, b'\0')
+    return packed.ljust(MAX_CANDIDATES * PACKED_ADDRESS_LENGTH, b'\0')
 
 
 def _unpack_candidates(packed: bytes, count: int) -> tuple[Address, ...]:
     return tuple(
-        unpack_address(packed[start : start + PACKED_LENGTH])
+        unpack_address(packed[start : start + PACKED_ADDRESS_LENGTH])
         for start in range(
             0,
-            min(count, MAX_CANDIDATES) * PACKED_LENGTH,
-            PACKED_LENGTH,
+            min(count, MAX_CANDIDATES) * PACKED_ADDRESS_LENGTH,
+            PACKED_ADDRESS_LENGTH,
         )
     )
--- a/packages/keelgap/src/keelgap/wire/replay.py
+++ b/packages/keelgap/src/keelgap/wire/replay.py
@@ -2,11 +2,11 @@
 
 from typing import Final
 
-__all__ = ('REPLAY_WINDOW', 'ReplayWindow')
+__all__ = ('REPLAY_WINDOW_SIZE', 'ReplayWindow')
 
 #: Number of sequence numbers that the window covers.
-REPLAY_WINDOW: Final = 4096
-_MASK: Final = (1 << REPLAY_WINDOW) - 1
+REPLAY_WINDOW_SIZE: Final = 4096
+_MASK: Final = (1 << REPLAY_WINDOW_SIZE) - 1
 
 
 class ReplayWindow:
@@ -34,12 +34,14 @@
         ahead = sequence - self.highest
         if ahead > 0:
             self.highest = sequence
-            self.seen = ((self.seen << min(ahead, REPLAY_WINDOW)) | 1) & _MASK
+            self.seen = (
+                (self.seen << min(ahead, REPLAY_WINDOW_SIZE)) | 1
+            ) & _MASK
             return True
         return self._accept_late(-ahead)
 
     def _accept_late(self, behind: int) -> bool:
-        if behind >= REPLAY_WINDOW:
+        if behind >= REPLAY_WINDOW_SIZE:
             return False
         bit = 1 << behind
         if self.seen & bit:
--- a/tests/keelgap/test_dissemination.py
+++ b/tests/keelgap/test_dissemination.py
@@ -6,7 +6,7 @@
 
 from keelgap.addresses import Address
 from keelgap.dissemination.defaults import READER_COUNT
-from keelgap.dissemination.state import DocumentNames
+from keelgap.dissemination.state import DocumentKeys
 from keelgap_standins.gossip import (
     INSTANCES_KEY,
     TABLE_KEY,
@@ -181,7 +181,7 @@
             Address('10.8.8.8', 7002),
             'zone-9',
             tuple(net.processes)[:2],
-            DocumentNames('table.east', 'instances.east'),
+            DocumentKeys('table.east', 'instances.east'),
         )
         net.run(5)
         self.assertEqual(stranger.in_force, [])
--- a/tests/keelgap/test_oracle.py
+++ b/tests/keelgap/test_oracle.py
@@ -23,7 +23,7 @@
     """Stand in for acceptance that does not compare versions."""
     held = state.held[key]
     held.document = document
-    held.parsed = state.checkers[key](document)
+    held.parsed = state.parsers[key](document)
     return (PutInForce(key, document, held.parsed),)
 
 
@@ -40,7 +40,7 @@
     ),
     'an exchange that never happens': (
         reducer,
-        '_exchange',
+        '_exchange_versions',
         lambda state, now: (),
     ),
 }
--- a/tests/keelgap/test_parts.py
+++ b/tests/keelgap/test_parts.py
@@ -13,7 +13,7 @@
 from keelgap.conf import ConfigServiceSettings
 from keelgap.dissemination.source import DocumentReader
 from keelgap.exceptions import TableRefused
-from keelgap.table.loader import MAX_DOCUMENT, load_table
+from keelgap.table.loader import MAX_DOCUMENT_LENGTH, load_table
 from keelgap.table.parts import PartMismatch, join_parts, split_table
 from keelgap_standins.config_service import ConfigService
 
@@ -32,8 +32,8 @@
             load_table(content)
         divided = split_table(content, 'table')
         longest = max(map(len, divided.parts.values()))
-        self.assertLess(longest, MAX_DOCUMENT)
-        self.assertLess(len(divided.manifest), MAX_DOCUMENT)
+        self.assertLess(longest, MAX_DOCUMENT_LENGTH)
+        self.assertLess(len(divided.manifest), MAX_DOCUMENT_LENGTH)
         whole = join_parts(divided.manifest, divided.parts)
         self.assertEqual(
             msgspec.json.decode(whole),
--- a/tests/keelgap/test_rendezvous.py
+++ b/tests/keelgap/test_rendezvous.py
@@ -4,18 +4,18 @@
 from random import Random
 from unittest import TestCase
 
-from keelgap.routing.rendezvous import Weighted, rank
+from keelgap.routing.rendezvous import WeightedSeed, rank_members
 
 
 def count_firsts(weights: dict[str, float], keys: int = 6000) -> Counter[str]:
     """Return how often each member ranks first."""
     members = [
-        (Weighted(index, weight), name)
+        (WeightedSeed(index, weight), name)
         for index, (name, weight) in enumerate(weights.items())
     ]
     random = Random(1)
     return Counter(
-        rank(random.randbytes(8), members, 1)[0] for _ in range(keys)
+        rank_members(random.randbytes(8), members, 1)[0] for _ in range(keys)
     )
 
 
@@ -36,11 +36,11 @@
 
     def test_removal_moves_only_the_removed_share(self) -> None:
         """Keys of other members stay where they are."""
-        members = [(Weighted(index, 1), index) for index in range(10)]
+        members = [(WeightedSeed(index, 1), index) for index in range(10)]
         random = Random(2)
         for _ in range(500):
             key = random.randbytes(8)
-            before = rank(key, members, 2)
-            after = rank(key, members[:-1], 1)[0]
+            before = rank_members(key, members, 2)
+            after = rank_members(key, members[:-1], 1)[0]
             expected = before[1] if before[0] == 9 else before[0]
             self.assertEqual(after, expected)
--- a/tests/keelgap/test_wire.py
+++ b/tests/keelgap/test_wire.py
@@ -10,7 +10,7 @@
 from keelgap.routing.connection_ids import ConnectionIdCodec, FlowOwner
 from keelgap.wire import exceptions
 from keelgap.wire.encapsulation import (
-    MAX_DATAGRAM,
+    MAX_DATAGRAM_LENGTH,
     OVERHEAD,
     Envelope,
     EnvelopeCodec,
@@ -106,7 +106,7 @@
         foreign = EnvelopeCodec({3: bytes(32)}, 3, 1, BALANCER)
         cases = (
             (datagram[: OVERHEAD - 1], exceptions.TruncatedDatagram),
-            (bytes(MAX_DATAGRAM + 1), exceptions.OversizedDatagram),
+            (bytes(MAX_DATAGRAM_LENGTH + 1), exceptions.OversizedDatagram),
             (foreign.seal(ENVELOPE, AGENT), exceptions.UnknownKey),
         )
         for case, error in cases:
@@ -114,7 +114,7 @@
                 self.receiver.open(case, BALANCER)
 
     @settings(derandomize=True, deadline=None)
-    @given(st.binary(max_size=MAX_DATAGRAM + 10))
+    @given(st.binary(max_size=MAX_DATAGRAM_LENGTH + 10))
     def test_noise_raises_only_wire_errors(self, noise: bytes) -> None:
         """Nothing is kept for a sender that is not authentic."""
         for datagram in (noise, b'\1\0\1\1' + noise):
