--- a/experiments/slopes.py
+++ b/experiments/slopes.py
@@ -280,7 +280,7 @@
     state = make_balancer(rows)
     for index, agent in enumerate(sorted(state.owners)):
         if index % 10:
-            state.health.note_heard(agent, 0)
+            state.health.record_message(agent, 0)
         else:
             state.health.expect_answer(agent, 0)
     return lambda: reduce(state, TimerFired(0.1))
--- a/packages/keelgap-agent/src/keelgap_agent/packets/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/server.py
@@ -76,7 +76,7 @@
             settings.warm_up,
             resolve_features(
                 settings.features,
-                self.adapter.read_terms(settings.features.terms),
+                self.adapter.parse_terms(settings.features.terms),
             ),
         )
         # If the upstream runs already, another agent process may have
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/trace.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/trace.py
@@ -11,7 +11,7 @@
 from keelgap.exceptions import KeelgapError
 from keelgap.process import EXIT_FAULTS, report_error
 
-__all__ = ('read_lines', 'select_history', 'trace')
+__all__ = ('parse_log_lines', 'select_history', 'trace')
 
 #: Events that change the state on which a process bases its decisions; those
 #: close in time help to explain the history.
@@ -44,7 +44,7 @@
     code = 'unreadable_log'
 
 
-def read_lines(text: Iterable[str]) -> Iterator[LogEntry]:
+def parse_log_lines(text: Iterable[str]) -> Iterator[LogEntry]:
     """Yield the log entries in lines of text, skipping any prefix."""
     for line in text:
         start = line.find('{')
@@ -97,7 +97,7 @@
     try:
         for name in files:
             with Path(name).open(encoding='utf-8', errors='replace') as log:
-                entries.extend(read_lines(log))
+                entries.extend(parse_log_lines(log))
     except OSError as error:
         return report_error(UnreadableLog(str(error)))
     history = select_history(entries, wanted, around=around)
--- a/packages/keelgap-balancer/src/keelgap_balancer/defaults.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/defaults.py
@@ -4,20 +4,20 @@
 
 __all__ = (
     'MAX_SUSPECT_SHARE',
-    'OWNER_MEMORY_SECONDS',
-    'PAUSE_SECONDS',
+    'FORMER_OWNER_SECONDS',
+    'PROCESS_PAUSE_SECONDS',
     'PROBE_BACKOFF_FACTOR',
     'PROBE_BACKOFF_MAX_SECONDS',
     'PROBE_BACKOFF_SECONDS',
     'PROBES_PER_SECOND',
-    'SILENCE_SECONDS',
+    'AGENT_SILENCE_SECONDS',
     'TIMER_SECONDS',
 )
 
 #: Seconds of silence, after a datagram was sent to an agent, until the agent is
 #: suspect.  Four round trips between availability zones with the start of a
 #: handshake take a fraction of a second.
-SILENCE_SECONDS: Final = 1.0
+AGENT_SILENCE_SECONDS: Final = 1.0
 
 #: Maximum share of a service's upstreams that may be suspect at once.  If more
 #: are silent, this balancer is cut off rather than the upstreams dead.
@@ -42,8 +42,8 @@
 
 #: If the timer fires later than this after its previous run, the process was
 #: paused, and the silence of agents during the pause is ignored.
-PAUSE_SECONDS: Final = 0.5
+PROCESS_PAUSE_SECONDS: Final = 0.5
 
 #: Seconds for which an agent whose upstream was removed may still own flows, so
 #: that its open flows continue while it drains: one day.
-OWNER_MEMORY_SECONDS: Final = 86400.0
+FORMER_OWNER_SECONDS: Final = 86400.0
--- a/packages/keelgap-balancer/src/keelgap_balancer/forwarding.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/forwarding.py
@@ -28,12 +28,12 @@
 from keelgap_balancer.events import CallerDatagram, EnvelopeReceived
 from keelgap_balancer.state import BalancerState
 
-__all__ = ('handle_caller_datagram', 'handle_envelope', 'make_message')
+__all__ = ('handle_caller_datagram', 'handle_envelope', 'make_control_envelope')
 
 Effects = tuple[BalancerEffect, ...]
 
 
-def make_message(state: BalancerState, kind: MessageKind) -> Envelope:
+def make_control_envelope(state: BalancerState, kind: MessageKind) -> Envelope:
     """Return an envelope without a service, a caller and a payload."""
     return Envelope(kind, 0, state.table.revision)
 
@@ -43,7 +43,7 @@
     event: CallerDatagram,
 ) -> Effects:
     """Route a datagram to the agent that owns its flow or may accept it."""
-    state.last_caller_datagram = event.now
+    state.last_caller_datagram_at = event.now
     try:
         return _route(state, event)
     except WireError as error:
@@ -68,14 +68,14 @@
 ) -> Effects:
     if owner.service != event.service:
         raise ForeignService
-    if not state.is_owner(owner.agent):
+    if not state.may_own_flows(owner.agent):
         raise UnknownOwner
     envelope = _encapsulate(state, event, ())
     if state.health.is_suspect(owner.agent):
         return _detour(state, owner.agent, envelope, event.now)
     forward = SendEnvelope(owner.agent, envelope)
-    if state.health.take_probe(owner.agent, event.now):
-        probe = make_message(state, MessageKind.PROBE)
+    if state.health.start_probe_if_due(owner.agent, event.now):
+        probe = make_control_envelope(state, MessageKind.PROBE)
         return forward, SendEnvelope(owner.agent, probe)
     return (forward,)
 
@@ -107,7 +107,7 @@
     balancer ranks the agents in the same order for all datagrams of one
     handshake.
     """
-    eligible = state.takers.get(service, ())
+    eligible = state.eligible_upstreams.get(service, ())
     # At most half of the upstreams are suspect, so that twice as many of them
     # include enough others.
     ranked = rank_members(connection_id, eligible, MAX_CANDIDATES * 2)
@@ -160,7 +160,7 @@
 
 def handle_envelope(state: BalancerState, event: EnvelopeReceived) -> Effects:
     """Handle an envelope from an agent or from another balancer."""
-    state.health.note_heard(event.sender, event.now)
+    state.health.record_message(event.sender, event.now)
     handler = _HANDLERS.get(event.envelope.kind)
     if handler is None:
         return (Drop('unknown_kind'),)
@@ -179,7 +179,7 @@
 
 def _deliver_detour(state: BalancerState, event: EnvelopeReceived) -> Effects:
     agent = event.envelope.via
-    if not state.is_owner(agent):
+    if not state.may_own_flows(agent):
         return (Drop(UnknownOwner.code),)
     forward = event.envelope._replace(
         kind=MessageKind.FORWARD,
@@ -190,7 +190,7 @@
 
 
 def _reply_to_probe(state: BalancerState, event: EnvelopeReceived) -> Effects:
-    reply = make_message(state, MessageKind.PROBE_REPLY)
+    reply = make_control_envelope(state, MessageKind.PROBE_REPLY)
     return (SendEnvelope(event.sender, reply),)
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/health.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/health.py
@@ -33,7 +33,7 @@
         self.next_probe_at = now
         self.backoff = defaults.PROBE_BACKOFF_SECONDS
 
-    def note_heard(self, now: float) -> None:
+    def record_message(self, now: float) -> None:
         """Record an authenticated message; the agent is no longer suspect."""
         self.last_heard = now
         self.waiting_since = None
@@ -57,7 +57,7 @@
         """Return whether the awaited answer is overdue."""
         if self.waiting_since is None:
             return False
-        return now - self.waiting_since >= defaults.SILENCE_SECONDS
+        return now - self.waiting_since >= defaults.AGENT_SILENCE_SECONDS
 
     def record_probe(self, now: float) -> None:
         """Schedule the next probe and increase the delay until another."""
@@ -80,11 +80,11 @@
         self.probe_tokens = defaults.PROBES_PER_SECOND
         self.probe_tokens_refilled_at = float('-inf')
 
-    def note_heard(self, agent: Address, now: float) -> None:
+    def record_message(self, agent: Address, now: float) -> None:
         """Record an authenticated message from an agent."""
         health = self.agents.get(agent)
         if health is not None:
-            health.note_heard(now)
+            health.record_message(now)
             self.awaited.discard(agent)
 
     def expect_answer(self, agent: Address, now: float) -> None:
@@ -92,7 +92,7 @@
         self._get_or_create(agent, now).start_wait(now)
         self.awaited.add(agent)
 
-    def take_probe(self, agent: Address, now: float) -> bool:
+    def start_probe_if_due(self, agent: Address, now: float) -> bool:
         """Return whether to probe an agent to which a datagram is forwarded.
 
         If a probe is due and the rate allows it, start to wait for its answer.
@@ -101,7 +101,7 @@
         balancer unanswered.
         """
         health = self._get_or_create(agent, now)
-        is_silent = now - health.last_heard >= defaults.SILENCE_SECONDS
+        is_silent = now - health.last_heard >= defaults.AGENT_SILENCE_SECONDS
         if health.waiting_since is not None or not is_silent:
             return False
         if not self._take_probe_token(now):
@@ -115,11 +115,14 @@
         health = self.agents.get(agent)
         return health is not None and health.suspect
 
-    def check_pause(self, now: float) -> None:
+    def detect_pause(self, now: float) -> None:
         """Restart all waits if this process was paused."""
         previous = self.last_timer_at
         self.last_timer_at = now
-        if previous is not None and now - previous > defaults.PAUSE_SECONDS:
+        if (
+            previous is not None
+            and now - previous > defaults.PROCESS_PAUSE_SECONDS
+        ):
             for agent in self.awaited:
                 self.agents[agent].restart_wait(now)
 
@@ -131,7 +134,7 @@
             for agent in self.awaited
         )
 
-    def update_suspects(self, members: Sequence[Address], now: float) -> int:
+    def mark_suspects(self, members: Sequence[Address], now: float) -> int:
         """Mark the silent agents of one service; return how many are new.
 
         At most MAX_SUSPECT_SHARE of the agents are suspect at once, but at
@@ -156,7 +159,7 @@
             health.next_probe_at = now
         return len(new_suspects)
 
-    def list_probes(self, now: float) -> Iterator[Address]:
+    def pop_due_probes(self, now: float) -> Iterator[Address]:
         """Yield the suspects that are due for a probe and reschedule them."""
         due = [
             agent
--- a/packages/keelgap-balancer/src/keelgap_balancer/membership.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/membership.py
@@ -5,15 +5,15 @@
 from keelgap.addresses import Address
 from keelgap.routing.rendezvous import WeightedSeed
 from keelgap.table import EMPTY_TABLE, Service, Table, Upstream
-from keelgap_balancer.defaults import OWNER_MEMORY_SECONDS
+from keelgap_balancer.defaults import FORMER_OWNER_SECONDS
 from keelgap_balancer.effects import BalancerEffect, CloseService, OpenService
 from keelgap_balancer.events import InstancesChanged, TableChanged
-from keelgap_balancer.state import BalancerState, RankedUpstream
+from keelgap_balancer.state import BalancerState, WeightedUpstream
 
-__all__ = ('change_instances', 'change_table')
+__all__ = ('handle_instances_change', 'handle_table_change')
 
 
-def change_table(
+def handle_table_change(
     state: BalancerState,
     event: TableChanged,
 ) -> tuple[BalancerEffect, ...]:
@@ -27,7 +27,7 @@
     return _compare_services(before, event.table)
 
 
-def change_instances(
+def handle_instances_change(
     state: BalancerState,
     event: InstancesChanged,
 ) -> tuple[BalancerEffect, ...]:
@@ -84,11 +84,13 @@
         for upstream in members
     )
     owners = frozenset((*listed, *rows))
-    expires_at = now + OWNER_MEMORY_SECONDS
-    former = {agent: end for agent, end in state.departed.items() if end > now}
+    expires_at = now + FORMER_OWNER_SECONDS
+    former = {
+        agent: end for agent, end in state.former_owners.items() if end > now
+    }
     former.update(dict.fromkeys(state.owners - owners, expires_at))
     state.owners = owners
-    state.departed = former
+    state.former_owners = former
     state.health.keep_only(owners | former.keys())
 
 
@@ -102,18 +104,18 @@
         before = EMPTY_TABLE
     state.leaving = leaving
     previous = before.upstreams
-    state.takers = {
-        number: state.takers[number]
+    state.eligible_upstreams = {
+        number: state.eligible_upstreams[number]
         if previous.get(number) is members
-        else _rank_members(members, leaving)
+        else _select_eligible(members, leaving)
         for number, members in state.table.upstreams.items()
     }
 
 
-def _rank_members(
+def _select_eligible(
     members: tuple[Upstream, ...],
     leaving: frozenset[Address],
-) -> tuple[RankedUpstream, ...]:
+) -> tuple[WeightedUpstream, ...]:
     return tuple(
         _add_weight(upstream)
         for upstream in members
@@ -121,6 +123,6 @@
     )
 
 
-def _add_weight(upstream: Upstream) -> RankedUpstream:
+def _add_weight(upstream: Upstream) -> WeightedUpstream:
     seed = xxh3_64_intdigest(upstream.name.encode())
     return WeightedSeed(seed, upstream.weight), upstream
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/server.py
@@ -89,7 +89,7 @@
             now,
             resolve_features(
                 settings.features,
-                self.adapter.read_terms(settings.features.terms),
+                self.adapter.parse_terms(settings.features.terms),
             ),
         )
         self.decisions = DecisionLog(process.lines, process.counters)
--- a/packages/keelgap-balancer/src/keelgap_balancer/reducer.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/reducer.py
@@ -22,9 +22,12 @@
 from keelgap_balancer.forwarding import (
     handle_caller_datagram,
     handle_envelope,
-    make_message,
+    make_control_envelope,
+)
+from keelgap_balancer.membership import (
+    handle_instances_change,
+    handle_table_change,
 )
-from keelgap_balancer.membership import change_instances, change_table
 from keelgap_balancer.state import BalancerState
 
 __all__ = ('Effects', 'reduce')
@@ -42,26 +45,26 @@
 
 def _handle_timer(state: BalancerState, event: TimerFired) -> Effects:
     health = state.health
-    health.check_pause(event.now)
+    health.detect_pause(event.now)
     new_suspects = 0
     if health.has_overdue(event.now):
         new_suspects = sum(
-            health.update_suspects(
+            health.mark_suspects(
                 [upstream.agent for upstream in members],
                 event.now,
             )
             for members in state.table.upstreams.values()
         )
     probes = tuple(
-        SendEnvelope(agent, make_message(state, MessageKind.PROBE))
-        for agent in health.list_probes(event.now)
+        SendEnvelope(agent, make_control_envelope(state, MessageKind.PROBE))
+        for agent in health.pop_due_probes(event.now)
     )
     return (*probes, *(Count('suspected') for _ in range(new_suspects)))
 
 
 def _handle_stop(state: BalancerState, event: StopRequested) -> Effects:
     state.stopping = True
-    message = make_message(state, MessageKind.LEAVING)
+    message = make_control_envelope(state, MessageKind.LEAVING)
     return tuple(SendEnvelope(agent, message) for agent in sorted(state.owners))
 
 
@@ -71,8 +74,8 @@
 ]({
     CallerDatagram: handle_caller_datagram,
     EnvelopeReceived: handle_envelope,
-    TableChanged: change_table,
-    InstancesChanged: change_instances,
+    TableChanged: handle_table_change,
+    InstancesChanged: handle_instances_change,
     TimerFired: _handle_timer,
     StopRequested: _handle_stop,
 })
--- a/packages/keelgap-balancer/src/keelgap_balancer/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/server.py
@@ -108,7 +108,7 @@
         while True:
             await asyncio.sleep(TIMER_SECONDS)
             now = self.loop.time()
-            last = max(self.driver.state.last_caller_datagram, started)
+            last = max(self.driver.state.last_caller_datagram_at, started)
             if now - last >= settings.quiet_seconds:
                 return
             if now - started >= settings.longest_seconds:
@@ -126,7 +126,7 @@
                 weight=upstream.weight,
                 takes_new_flows=any(
                     eligible.name == upstream.name
-                    for _, eligible in state.takers.get(number, ())
+                    for _, eligible in state.eligible_upstreams.get(number, ())
                 ),
                 suspect=state.health.is_suspect(upstream.agent),
             )
--- a/packages/keelgap-balancer/src/keelgap_balancer/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/state.py
@@ -11,9 +11,9 @@
 from keelgap.table import EMPTY_TABLE, Table, Upstream
 from keelgap_balancer.health import HealthMap
 
-__all__ = ('BalancerState', 'RankedUpstream')
+__all__ = ('BalancerState', 'WeightedUpstream')
 
-RankedUpstream = tuple[WeightedSeed, Upstream]
+WeightedUpstream = tuple[WeightedSeed, Upstream]
 
 
 class BalancerState:
@@ -26,20 +26,20 @@
         self.table: Table = EMPTY_TABLE
         self.instances: InstanceList = NO_INSTANCES
         #: Upstreams that may get new flows, with weights, by service number.
-        self.takers: dict[int, tuple[RankedUpstream, ...]] = {}
+        self.eligible_upstreams: dict[int, tuple[WeightedUpstream, ...]] = {}
         #: Agents in the table or the instance list; each may own flows.
         self.owners: frozenset[Address] = frozenset()
         #: Agents that are no longer published, and the time until which they
         #: may own flows.
-        self.departed: dict[Address, float] = {}
+        self.former_owners: dict[Address, float] = {}
         #: Agents that the instance list marks as leaving.
         self.leaving: frozenset[Address] = frozenset()
         #: Other balancers that can deliver datagrams to suspect agents.
         self.peers: tuple[Address, ...] = ()
         self.health = HealthMap()
         self.stopping = False
-        self.last_caller_datagram = float('-inf')
+        self.last_caller_datagram_at = float('-inf')
 
-    def is_owner(self, agent: Address) -> bool:
+    def may_own_flows(self, agent: Address) -> bool:
         """Return whether an agent is published or was recently."""
-        return agent in self.owners or agent in self.departed
+        return agent in self.owners or agent in self.former_owners
--- a/tests/balancer/test_oracle.py
+++ b/tests/balancer/test_oracle.py
@@ -25,7 +25,7 @@
 
 
 forward_to_owner = forwarding._forward_to_owner  # noqa: WPS437
-rank_members = membership._rank_members  # noqa: WPS437
+rank_members = membership._select_eligible  # noqa: WPS437
 
 DELIBERATE_FAULTS = {
     'a packet that reaches another service': (
@@ -35,7 +35,7 @@
     ),
     'a leaving upstream that is ranked': (
         membership,
-        '_rank_members',
+        '_select_eligible',
         rank_everybody,
     ),
     'suspicion without a bound': (defaults, 'MAX_SUSPECT_SHARE', 1.0),
--- a/tests/balancer/test_trace.py
+++ b/tests/balancer/test_trace.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import TestCase
 
-from keelgap_balancer.commands.trace import read_lines, trace
+from keelgap_balancer.commands.trace import parse_log_lines, trace
 
 FLOW = '100.64.0.7:1026>198.18.0.1:443'
 
@@ -70,4 +70,4 @@
 
     def test_lines_without_an_event_are_passed_over(self) -> None:
         """Logs hold other text, too."""
-        self.assertEqual(list(read_lines(['{"a": 1}', '[1]', 'x'])), [])
+        self.assertEqual(list(parse_log_lines(['{"a": 1}', '[1]', 'x'])), [])
--- a/tests/keelgap/test_features.py
+++ b/tests/keelgap/test_features.py
@@ -15,7 +15,7 @@
     FeatureSettings,
     resolve_features,
 )
-from keelgap_platform.adapter import read_terms
+from keelgap_platform.adapter import parse_terms
 
 
 class _Settings(NamedTuple):
@@ -62,9 +62,9 @@
 
     def test_adapter_reads_its_own_words(self) -> None:
         """Words that call for nothing, and unknown ones, are passed over."""
-        self.assertEqual(read_terms(''), frozenset())
+        self.assertEqual(parse_terms(''), frozenset())
         self.assertEqual(
-            read_terms('base, health,pressure,other'),
+            parse_terms('base, health,pressure,other'),
             frozenset(DeploymentTerm),
         )
 
--- a/tests/site/test_packet_programs.py
+++ b/tests/site/test_packet_programs.py
@@ -451,7 +451,7 @@
         self.store.put(ROUTES_KEY, {'Version': 2, 'Routes': [], 'Limits': {}})
         self.open(1)
         self.store.refuses = False
-        self.store.forgets = True
+        self.store.loses_history = True
         self.store.remove(UPSTREAM_KEY)
         self.wait_for(
             lambda: self.send(9, SYN)[26] == RST,
@@ -464,11 +464,11 @@
         known after 22 s.
         """
         self.open(1)
-        self.store.swallows = True
+        self.store.never_answers = True
         # Ends the watch that waits, on a connection that then is silent.
         self.store.put('other', {})
         time.sleep(0.5)
-        self.store.swallows = False
+        self.store.never_answers = False
         self.store.remove(UPSTREAM_KEY)
         removed = time.monotonic()
         self.wait_for(
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -117,7 +117,12 @@
 
 async def _lose_store(world: World, random: Random) -> None:
     """Let the store refuse, swallow or delay calls, and forget history."""
-    kind = random.choice(('refuses', 'swallows', 'delays', 'forgets'))
+    kind = random.choice((
+        'refuses',
+        'never_answers',
+        'delays',
+        'loses_history',
+    ))
     if kind == 'delays':
         for relay in world.store_relays.values():
             relay.delay = 0.3
@@ -127,7 +132,7 @@
     for relay in world.store_relays.values():
         relay.delay = 0
     world.store.refuses = False
-    world.store.swallows = False
+    world.store.never_answers = False
 
 
 async def _lose_heartbeats(world: World, random: Random) -> None:
@@ -259,8 +264,8 @@
     for relay in world.relays:
         relay.heal()
     world.store.refuses = False
-    world.store.swallows = False
-    world.store.forgets = False
+    world.store.never_answers = False
+    world.store.loses_history = False
     for upstream in world.upstreams:
         upstream.reaches_store = True
         upstream.failing = 0
