--- a/experiments/slopes.py
+++ b/experiments/slopes.py
@@ -51,7 +51,7 @@
 from keelgap_balancer.events import InstancesChanged, TableChanged, TimerFired
 from keelgap_balancer.reducer import reduce
 from keelgap_balancer.state import BalancerState
-from keelgap_standins.gossip import start_net
+from keelgap_standins.gossip import start_network
 
 _ROWS: Final = (1000, 4000, 8500, 17000)
 _ROWS_A_SERVICE: Final = 2.2
@@ -352,7 +352,7 @@
 
 def measure(seed: int) -> dict[str, Any]:
     """Return all slopes of one run."""
-    net = start_net(seed, 3)
+    net = start_network(seed, 3)
     state = next(iter(net.processes.values())).state
     announce = encode_message(
         Address('10.0.0.1', 7002),
--- a/experiments/spread.py
+++ b/experiments/spread.py
@@ -13,9 +13,9 @@
 from keelgap.dissemination.events import RevisionSeen
 from keelgap_standins.gossip import (
     TABLE_KEY,
-    GossipNet,
+    SimulatedNetwork,
     make_table_document,
-    start_net,
+    start_network,
 )
 
 __all__ = ('measure',)
@@ -33,50 +33,50 @@
 def measure_size(
     seed: int,
     processes: int,
-    loss: float,
+    loss_rate: float,
     zones: int = 3,
 ) -> dict[str, Any]:
     """Return the figures of one fleet under a day's rate of changes."""
-    net = start_net(seed, processes, zones, loss)
+    net = start_network(seed, processes, zones, loss_rate)
     started = net.now
-    reads = net.reads
+    read_count = net.read_count
     sent = sum(one.octets_sent for one in net.processes.values())
     times = [_change(net, revision) for revision in range(2, 2 + _CHANGES)]
     seconds = net.now - started
     sent = sum(one.octets_sent for one in net.processes.values()) - sent
     return {
         'processes': processes,
-        'loss': loss,
+        'loss': loss_rate,
         'everywhere_p50_s': round(median(times), 3),
         'everywhere_max_s': round(max(times), 3),
         'octets_a_second_a_process': round(sent / seconds / processes, 1),
-        'reads_a_second': round((net.reads - reads) / seconds, 3),
+        'reads_a_second': round((net.read_count - read_count) / seconds, 3),
     }
 
 
-def _change(net: GossipNet, revision: int) -> float:
+def _change(net: SimulatedNetwork, revision: int) -> float:
     net.put(TABLE_KEY, make_table_document(revision))
-    spent = net.run_until(lambda: not net.count_behind(revision), _LONGEST)
+    spent = net.run_until(lambda: not net.count_outdated(revision), _LONGEST)
     net.run(max(_PAUSE - spent, 0))
     return spent
 
 
 def measure_service_down(seed: int, processes: int) -> dict[str, Any]:
     """Return how fast all follow one process that alone is ahead."""
-    net = start_net(seed, processes)
+    net = start_network(seed, processes)
     first = next(iter(net.processes))
     net.values[TABLE_KEY] = msgspec.json.encode(make_table_document(2))
     net._read(first, net.processes[first], TABLE_KEY)  # noqa: WPS437
     net.run(0.006)
-    net.switch_service(away=True)
-    spent = net.run_until(lambda: not net.count_behind(2), _LONGEST)
+    net.switch_service(is_service_unavailable=True)
+    spent = net.run_until(lambda: not net.count_outdated(2), _LONGEST)
     return {'processes': processes, 'everywhere_s': round(spent, 3)}
 
 
 class _Traffic:
     """Data traffic between random processes, with or without revisions."""
 
-    def __init__(self, net: GossipNet, carries: bool) -> None:
+    def __init__(self, net: SimulatedNetwork, carries: bool) -> None:
         self.net = net
         self.carries = carries
         self.decisions = 0
@@ -103,17 +103,17 @@
 def measure_gate(
     seed: int,
     processes: int,
-    loss: float,
+    loss_rate: float,
     carries: bool,
 ) -> dict[str, Any]:
     """Return the mean share of stale decisions over several seeds."""
     shares = [
-        measure_stale_share(seed + offset, processes, loss, carries)
+        measure_stale_share(seed + offset, processes, loss_rate, carries)
         for offset in range(_SEEDS)
     ]
     return {
         'processes': processes,
-        'loss': loss,
+        'loss': loss_rate,
         'seeds': _SEEDS,
         'revisions_on_traffic': carries,
         'stale_share_mean': round(fmean(shares), 6),
@@ -125,11 +125,11 @@
 def measure_stale_share(
     seed: int,
     processes: int,
-    loss: float,
+    loss_rate: float,
     carries: bool,
 ) -> float:
     """Return the share of decisions made with an old table."""
-    net = start_net(seed, processes, loss=loss)
+    net = start_network(seed, processes, loss_rate=loss_rate)
     traffic = _Traffic(net, carries)
     traffic.run()
     for revision in range(2, 2 + _CHANGES):
@@ -144,14 +144,14 @@
         'experiment': 'spread',
         'seed': seed,
         'sizes': [
-            measure_size(seed, size, loss)
-            for loss in (0, 0.3)
+            measure_size(seed, size, loss_rate)
+            for loss_rate in (0, 0.3)
             for size in _SIZES
         ],
         'service_down': [measure_service_down(seed, size) for size in (10, 60)],
         'gate': [
-            measure_gate(seed, 90, loss, carries)
-            for loss in (0, 0.3)
+            measure_gate(seed, 90, loss_rate, carries)
+            for loss_rate in (0, 0.3)
             for carries in (False, True)
         ],
     }
--- a/experiments/upload.py
+++ b/experiments/upload.py
@@ -32,7 +32,7 @@
         await asyncio.sleep(2)
         started = time.monotonic()
         samples = []
-        async with open_caller(site.public('proof'), 60) as caller:
+        async with open_caller(site.get_public_address('proof'), 60) as caller:
             upload = asyncio.create_task(
                 caller.upload('/upload', megabytes * _MEGA),
             )
--- a/packages/keelgap-standins/src/keelgap_standins/caller.py
+++ b/packages/keelgap-standins/src/keelgap_standins/caller.py
@@ -27,7 +27,7 @@
 
 __all__ = (
     'Caller',
-    'CallerAnswer',
+    'CallerResponse',
     'FlowBroken',
     'RequestRejected',
     'open_caller',
@@ -62,7 +62,7 @@
     """The flow ended before the response was complete."""
 
 
-class CallerAnswer(NamedTuple):
+class CallerResponse(NamedTuple):
     """Status, headers and body of a complete response."""
 
     status: int
@@ -106,7 +106,7 @@
         path: str,
         body: bytes = b'',
         headers: Mapping[str, str] = NO_HEADERS,
-    ) -> CallerAnswer:
+    ) -> CallerResponse:
         """Send a request and return its response."""
         stream_id = self.send_request_headers(method, path, not body, headers)
         if body:
@@ -118,7 +118,7 @@
         path: str,
         size: int,
         pause: float = 0,
-    ) -> CallerAnswer:
+    ) -> CallerResponse:
         """Upload a body in chunks and return the response.
 
         The client sleeps for ``pause`` seconds after each chunk.
@@ -182,7 +182,7 @@
                 return
             await asyncio.sleep(0.002)
 
-    async def receive(self, stream_id: int) -> CallerAnswer:
+    async def receive(self, stream_id: int) -> CallerResponse:
         """Return the complete response.
 
         Raise FlowBroken if the flow ends first, or RequestRejected if the
@@ -194,7 +194,7 @@
         finally:
             self.pending.pop(stream_id, None)
         status = int(pending.headers.get(b':status', b'0'))
-        return CallerAnswer(status, pending.headers, b''.join(pending.chunks))
+        return CallerResponse(status, pending.headers, b''.join(pending.chunks))
 
     async def ping_until_reset(self, seconds: float = 5) -> None:
         """Send PING frames until a stateless reset arrives."""
@@ -211,7 +211,7 @@
         port: int = self._transport.get_extra_info('sockname')[1]
         return port
 
-    async def move(self) -> None:
+    async def migrate(self) -> None:
         """Continue from another local port, as after a NAT rebinding."""
         loop = asyncio.get_running_loop()
         old_transport = self._transport
--- a/packages/keelgap-standins/src/keelgap_standins/config_service.py
+++ b/packages/keelgap-standins/src/keelgap_standins/config_service.py
@@ -22,7 +22,7 @@
         self.values: dict[str, bytes] = {}
         self.index = 0
         self.read_count = 0
-        self.away = False
+        self.is_unavailable = False
         self.change_event = asyncio.Event()
 
     def put(self, key: str, value: bytes) -> None:
@@ -43,7 +43,7 @@
 
     async def _read(self, request: web.Request) -> web.Response:
         self.read_count += 1
-        if self.away:
+        if self.is_unavailable:
             return web.Response(status=503)
         key = request.match_info['key']
         known_index = int(request.query.get('index', '0'))
@@ -52,7 +52,7 @@
         )
         if known_index == self.index or key not in self.values:
             await self._wait_for_change(wait_seconds)
-        if self.away or key not in self.values:
+        if self.is_unavailable or key not in self.values:
             return web.Response(status=503)
         return web.Response(
             body=self.values[key],
--- a/packages/keelgap-standins/src/keelgap_standins/demo.py
+++ b/packages/keelgap-standins/src/keelgap_standins/demo.py
@@ -19,7 +19,7 @@
 
 from keelgap.logs import logger
 from keelgap_standins.load import (
-    Tally,
+    LoadStatistics,
     run_feed,
     run_short_requests,
     run_upload,
@@ -96,7 +96,7 @@
 async def run_demo(seed: int) -> DemoReport:
     """Run the demo and return its report."""
     random = Random(seed)  # noqa: S311
-    statistics = Tally()
+    statistics = LoadStatistics()
     async with AsyncExitStack() as stack:
         site = Site((_BOARD, _PROOF), random, stack)
         await site.start(3, 2)
@@ -110,18 +110,18 @@
 
 
 def _make_report(
-    site: Site, statistics: Tally, propagation: _PropagationTimer
+    site: Site, statistics: LoadStatistics, propagation: _PropagationTimer
 ) -> DemoReport:
-    runs: Counter[str] = Counter()
+    run_counts: Counter[str] = Counter()
     for upstream in site.list_upstreams():
-        runs.update(upstream.runs)
+        run_counts.update(upstream.run_counts)
     counts = statistics.counts
     return DemoReport(
         requests=counts['requests'],
         answered_whole=counts['answered_whole'],
         refused_not_run=counts['refused_not_run'],
         unknown=counts['unknown'],
-        run_twice=sum(count > 1 for count in runs.values()),
+        run_twice=sum(count > 1 for count in run_counts.values()),
         flows=counts['flows'],
         broken_flows=counts['broken_flows'],
         misrouted=counts['misrouted'],
@@ -135,7 +135,7 @@
 @asynccontextmanager
 async def _run_callers(
     site: Site,
-    statistics: Tally,
+    statistics: LoadStatistics,
     random: Random,
 ) -> AsyncIterator[None]:
     """Run all callers around the body of the ``async with`` statement.
@@ -163,13 +163,13 @@
 
 
 async def _publish_table(site: Site, propagation: _PropagationTimer) -> None:
-    site.publish()
+    site.publish_table()
     await propagation.wait()
 
 
 async def _replace_balancer(site: Site, propagation: _PropagationTimer) -> None:
     """Edit a weight, then replace a balancer while callers run."""
-    site.rows['board-1']['weight'] = 2
+    site.upstream_rows['board-1']['weight'] = 2
     await _publish_table(site, propagation)
     await site.replace_balancer('balancer-1', 'balancer-4')
     await asyncio.sleep(_STEP_SECONDS)
@@ -179,11 +179,11 @@
     """Add an upstream, then drain and retire another while callers run."""
     await site.start_agent('board-3', _BOARD)
     await _publish_table(site, propagation)
-    site.rows['board-2']['state'] = 'draining'
+    site.upstream_rows['board-2']['state'] = 'draining'
     await _publish_table(site, propagation)
     await site.retire_agent('board-2')
     await asyncio.sleep(_STEP_SECONDS)
-    site.rows['board-1']['weight'] = 1
+    site.upstream_rows['board-1']['weight'] = 1
     await _publish_table(site, propagation)
 
 
--- a/packages/keelgap-standins/src/keelgap_standins/gossip.py
+++ b/packages/keelgap-standins/src/keelgap_standins/gossip.py
@@ -39,11 +39,11 @@
 __all__ = (
     'INSTANCES_KEY',
     'TABLE_KEY',
-    'GossipNet',
+    'SimulatedNetwork',
     'Process',
     'make_instances',
     'make_table_document',
-    'start_net',
+    'start_network',
 )
 
 _DOCUMENT_KEYS: Final = DocumentKeys()
@@ -71,7 +71,7 @@
     def __init__(self, state: DisseminationState) -> None:
         """Create a process that is not paused."""
         self.state = state
-        self.in_force: list[AppliedVersion] = []
+        self.applied_versions: list[AppliedVersion] = []
         self.octets_sent = 0
         self.paused = False
         self.queued_events: list[DisseminationEvent] = []
@@ -79,30 +79,30 @@
 
     def get_revision(self, key: str = TABLE_KEY) -> int:
         """Return the revision of a document in force, or 0 for none."""
-        for entry in reversed(self.in_force):
+        for entry in reversed(self.applied_versions):
             if entry.key == key:
                 return entry.revision
         return 0
 
 
-class GossipNet:
+class SimulatedNetwork:
     """Processes, the network between them and the configuration service."""
 
-    def __init__(self, seed: int, loss: float = 0) -> None:
+    def __init__(self, seed: int, loss_rate: float = 0) -> None:
         """Create a network without processes, at time 0."""
         self.random = Random(seed)
-        self.loss = loss
+        self.loss_rate = loss_rate
         #: Ratio of messages that are delivered a second time, later.
-        self.doubled = 0.0  # noqa: WPS358
+        self.duplicate_rate = 0.0  # noqa: WPS358
         self.now = 0.0  # noqa: WPS358
         self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
         self.call_ids = count()
         self.processes: dict[Address, Process] = {}
         self.values: dict[str, bytes] = {}
-        self.away = False
-        self.reads = 0
+        self.is_service_unavailable = False
+        self.read_count = 0
         #: Pairs of processes that cannot reach each other.
-        self.cut: set[frozenset[Address]] = set()
+        self.partitioned_pairs: set[frozenset[Address]] = set()
         #: Recorders of the events and effects of a process, by its control
         #: address; used by golden tests.
         self.recorders: dict[Address, Any] = {}
@@ -139,10 +139,10 @@
             if process.state.reading and key in process.state.held:
                 self._read(control, process, key)
 
-    def switch_service(self, away: bool) -> None:
+    def switch_service(self, is_service_unavailable: bool) -> None:
         """Make the configuration service unavailable or available again."""
-        self.away = away
-        if not away:
+        self.is_service_unavailable = is_service_unavailable
+        if not is_service_unavailable:
             for control, process in self.processes.items():
                 if process.state.reading:
                     self._read_all(control, process)
@@ -151,7 +151,7 @@
         """Suspend a process; its events are queued."""
         self.processes[control].paused = True
 
-    def wake(self, control: Address) -> None:
+    def resume(self, control: Address) -> None:
         """Resume a paused process and dispatch its queued events at once."""
         process = self.processes[control]
         process.paused = False
@@ -181,7 +181,7 @@
             self.run(0.01)
         return self.now - started
 
-    def count_behind(self, revision: int) -> int:
+    def count_outdated(self, revision: int) -> int:
         """Return how many processes have an earlier table revision in force."""
         return sum(
             process.get_revision() < revision
@@ -239,7 +239,7 @@
         elif isinstance(effect, PutInForce):
             version = effect.document.version
             entry = AppliedVersion(self.now, effect.key, *version)
-            process.in_force.append(entry)
+            process.applied_versions.append(entry)
         elif isinstance(effect, Read) and effect.wanted:
             process.watch_id += 1
             self._read_all(control, process)
@@ -256,12 +256,12 @@
         frames = encode_message(control, effect.message)
         process.octets_sent += sum(map(len, frames))
         pair = frozenset((control, effect.receiver))
-        if pair in self.cut or self.is_lost():
+        if pair in self.partitioned_pairs or self.is_lost():
             return
         event = MessageReceived(self.now, control, effect.message)
         delay = _ZONE_DELAY_SECONDS * self.random.uniform(0.5, 1.5)
         self._call_later(delay, self._deliver, effect.receiver, event)
-        if self.doubled and self.random.random() < self.doubled:
+        if self.duplicate_rate and self.random.random() < self.duplicate_rate:
             duplicate_delay = self.random.uniform(
                 0, _MAX_DUPLICATE_DELAY_SECONDS
             )
@@ -270,12 +270,12 @@
             )
 
     def _is_lost(self) -> bool:
-        return self.random.random() < self.loss
+        return self.random.random() < self.loss_rate
 
     def _renew_watch(self, control: Address, watch_id: int) -> None:
         process = self.processes.get(control)
         if process and process.state.reading and process.watch_id == watch_id:
-            self.reads += len(self.values)
+            self.read_count += len(self.values)
             self._call_later(
                 _WATCH_SECONDS, self._renew_watch, control, watch_id
             )
@@ -285,8 +285,8 @@
             self._read(control, process, key)
 
     def _read(self, control: Address, process: Process, key: str) -> None:
-        self.reads += 1
-        if not self.away:
+        self.read_count += 1
+        if not self.is_service_unavailable:
             event = DocumentRead(self.now, key, self.values[key])
             self._call_later(_READ_DELAY_SECONDS, self._deliver, control, event)
 
@@ -309,7 +309,7 @@
 
 
 def make_instances(
-    network: GossipNet,
+    network: SimulatedNetwork,
     revision: int,
     leaving: tuple[Address, ...] = (),
 ) -> dict[str, Any]:
@@ -331,23 +331,23 @@
     }
 
 
-def start_net(
+def start_network(
     seed: int,
     processes: int,
     zones: int = 3,
-    loss: float = 0,
-) -> GossipNet:
+    loss_rate: float = 0,
+) -> SimulatedNetwork:
     """Return a network whose processes all have table revision 1 in force.
 
     Messages are lost only after that.
     """
-    network = GossipNet(seed)
+    network = SimulatedNetwork(seed)
     for index in range(processes):
         control = Address(f'10.0.{index // 250}.{index % 250 + 1}', 7002)
         network.add(control, f'zone-{index % zones}')
     network.put(TABLE_KEY, make_table_document(1))
     network.put(INSTANCES_KEY, make_instances(network, 1))
-    network.run_until(lambda: not network.count_behind(1), 30)
+    network.run_until(lambda: not network.count_outdated(1), 30)
     network.run(5)
-    network.loss = loss
+    network.loss_rate = loss_rate
     return network
--- a/packages/keelgap-standins/src/keelgap_standins/load.py
+++ b/packages/keelgap-standins/src/keelgap_standins/load.py
@@ -11,14 +11,14 @@
 
 from keelgap_standins.caller import (
     Caller,
-    CallerAnswer,
+    CallerResponse,
     FlowBroken,
     RequestRejected,
     open_caller,
 )
 from keelgap_standins.site import Site
 
-__all__ = ('Tally', 'run_feed', 'run_short_requests', 'run_upload')
+__all__ = ('LoadStatistics', 'run_feed', 'run_short_requests', 'run_upload')
 
 _STATUS_OK: Final = 200
 _MAX_ATTEMPTS: Final = 6
@@ -31,7 +31,7 @@
 )
 
 
-class Tally:
+class LoadStatistics:
     """Counters of flows, requests and their outcomes."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
         self.counts['broken_flows'] += 1
         self.reasons[f'broken: {reason!r}'] += 1
 
-    def record_response(self, service: str, response: CallerAnswer) -> None:
+    def record_response(self, service: str, response: CallerResponse) -> None:
         """Count a response by its status, service and type of problem."""
         if response.status == _STATUS_OK:
             is_from_service = response.service == service
@@ -60,7 +60,7 @@
 
 
 async def _retry_rejected(
-    statistics: Tally,
+    statistics: LoadStatistics,
     send_request: Callable[[], Awaitable[None]],
 ) -> None:
     """Send a request until it is not rejected as unprocessed."""
@@ -80,7 +80,7 @@
 async def run_short_requests(
     site: Site,
     service: str,
-    statistics: Tally,
+    statistics: LoadStatistics,
     random: Random,
     stop: asyncio.Event,
 ) -> None:
@@ -100,13 +100,13 @@
 async def _open_flow(
     site: Site,
     service: str,
-    statistics: Tally,
+    statistics: LoadStatistics,
     stack: AsyncExitStack,
 ) -> Caller | None:
     statistics.counts['flows'] += 1
     try:
         return await stack.enter_async_context(
-            open_caller(site.public(service)),
+            open_caller(site.get_public_address(service)),
         )
     except (ConnectionError, TimeoutError) as error:
         statistics.record_broken_flow(error)
@@ -116,7 +116,7 @@
 async def _send_random_request(
     caller: Caller,
     service: str,
-    statistics: Tally,
+    statistics: LoadStatistics,
     random: Random,
 ) -> None:
     async def send_request() -> None:
@@ -144,7 +144,7 @@
 
 async def run_feed(
     site: Site,
-    statistics: Tally,
+    statistics: LoadStatistics,
     events: int,
     pause: float,
 ) -> None:
@@ -152,7 +152,7 @@
 
     async def send_request() -> None:
         statistics.counts['flows'] += 1
-        async with open_caller(site.public('board')) as caller:
+        async with open_caller(site.get_public_address('board')) as caller:
             path = f'/feed?count={events}&pause={pause}'
             response = await caller.request('GET', path)
         statistics.record_response('board', response)
@@ -165,7 +165,7 @@
 
 async def run_upload(
     site: Site,
-    statistics: Tally,
+    statistics: LoadStatistics,
     size: int,
     pause: float,
 ) -> None:
@@ -173,7 +173,7 @@
 
     async def send_request() -> None:
         statistics.counts['flows'] += 1
-        async with open_caller(site.public('proof')) as caller:
+        async with open_caller(site.get_public_address('proof')) as caller:
             response = await caller.upload('/upload', size, pause)
         statistics.record_response('proof', response)
         if response.body != f'proof upload {size}'.encode():
--- a/packages/keelgap-standins/src/keelgap_standins/site.py
+++ b/packages/keelgap-standins/src/keelgap_standins/site.py
@@ -88,7 +88,7 @@
         )
         make_keys(self.directory)
         write_certificate(self.directory, self.host(1))
-        self.config = ConfigService()
+        self.config_service = ConfigService()
         self.fabric = Fabric(
             self.host(1),
             random,
@@ -96,11 +96,11 @@
         )
         self.revision = 0
         self.instances_revision = 0
-        self.rows: dict[str, dict[str, Any]] = {}
+        self.upstream_rows: dict[str, dict[str, Any]] = {}
         self.balancers: dict[str, RunningBalancer] = {}
         self.agents: dict[str, RunningAgent] = {}
         #: Agents that have left, kept for the counters of their upstreams.
-        self.retired: list[RunningAgent] = []
+        self.retired_agents: list[RunningAgent] = []
         self.instance_rows: dict[str, dict[str, Any]] = {}
         self.last_host_number = 10
 
@@ -113,7 +113,7 @@
         names = [spec.name for spec in self.services]
         return _FIRST_SERVICE_PORT + names.index(service)
 
-    def public(self, service: str) -> Address:
+    def get_public_address(self, service: str) -> Address:
         """Return the address that callers of a service use."""
         return Address(self.host(1), self.get_service_port(service))
 
@@ -122,7 +122,9 @@
 
         ``agents`` is the number per service.
         """
-        await self.config.start(Address(self.host(2), _CONFIG_PORT), self.stack)
+        await self.config_service.start(
+            Address(self.host(2), _CONFIG_PORT), self.stack
+        )
         for spec in self.services:
             self.fabric.open_service(self.get_service_port(spec.name))
         for index in range(balancers):
@@ -130,7 +132,7 @@
         for spec in self.services:
             for index in range(agents):
                 await self.start_agent(f'{spec.name}-{index + 1}', spec)
-        self.publish()
+        self.publish_table()
         self.publish_instances()
 
     async def start_balancer(self, name: str) -> RunningBalancer:
@@ -165,7 +167,7 @@
         await server.start(stack)
         running = RunningAgent(name, spec.name, server, upstream, stack)
         self.agents[name] = running
-        self.rows[name] = {
+        self.upstream_rows[name] = {
             'name': name,
             'service': spec.name,
             'agent': f'{host}:{_DATA_PORT}',
@@ -212,18 +214,18 @@
 
     async def retire_agent(self, name: str) -> None:
         """Drain an upstream by the table, and stop it once its flows end."""
-        self.rows[name]['state'] = 'draining'
-        self.publish()
+        self.upstream_rows[name]['state'] = 'draining'
+        self.publish_table()
         self.mark_leaving(name)
         leaving = self.agents[name]
         await leaving.server.drain()
-        self.retired.append(self.agents.pop(name))
+        self.retired_agents.append(self.agents.pop(name))
         await leaving.stack.aclose()
-        self.rows.pop(name)
-        self.publish()
+        self.upstream_rows.pop(name)
+        self.publish_table()
         self.remove_instance(name)
 
-    def publish(self) -> None:
+    def publish_table(self) -> None:
         """Publish the table under the next revision."""
         self.revision += 1
         document = {
@@ -241,9 +243,9 @@
                 for spec in self.services
                 for row in spec.classes
             ],
-            'upstreams': list(self.rows.values()),
+            'upstreams': list(self.upstream_rows.values()),
         }
-        self.config.put('table', msgspec.json.encode(document))
+        self.config_service.put('table', msgspec.json.encode(document))
 
     def publish_instances(self) -> None:
         """Publish the instance list, as the platform does."""
@@ -252,7 +254,7 @@
             'revision': self.instances_revision,
             'instances': list(self.instance_rows.values()),
         }
-        self.config.put('instances', msgspec.json.encode(document))
+        self.config_service.put('instances', msgspec.json.encode(document))
 
     def mark_leaving(self, name: str) -> None:
         """Mark an instance as leaving and publish the instance list."""
@@ -266,7 +268,7 @@
 
     def list_upstreams(self) -> list[Upstream]:
         """Return all upstreams, including those that have left."""
-        running = [*self.agents.values(), *self.retired]
+        running = [*self.agents.values(), *self.retired_agents]
         return [agent.upstream for agent in running]
 
     def get_revisions(self) -> set[int]:
--- a/packages/keelgap-standins/src/keelgap_standins/upstream.py
+++ b/packages/keelgap-standins/src/keelgap_standins/upstream.py
@@ -20,12 +20,12 @@
         self.name = name
         self.draining = False
         #: Pause after each received chunk of an upload.
-        self.read_pause = 0.0  # noqa: WPS358
+        self.upload_pause_seconds = 0.0  # noqa: WPS358
         #: Number of runs by idempotency key.
-        self.runs: Counter[str] = Counter()
+        self.run_counts: Counter[str] = Counter()
         self.busy_seconds = 0.0  # noqa: WPS358
         self.started_at = asyncio.get_running_loop().time()
-        self.requests = 0
+        self.request_count = 0
         self.running_requests = 0
         self.max_running_requests = 0
 
@@ -58,7 +58,7 @@
 
     async def _handle_run(self, request: web.Request) -> web.Response:
         key = request.headers.get('Idempotency-Key', '')
-        self.runs[key] += 1
+        self.run_counts[key] += 1
         body = await request.read()
         await self._simulate_work(request)
         return self._make_response(f'{self.service} run {len(body)}')
@@ -67,7 +67,7 @@
         size = 0
         async for chunk in request.content.iter_any():
             size += len(chunk)
-            await asyncio.sleep(self.read_pause)
+            await asyncio.sleep(self.upload_pause_seconds)
         return self._make_response(f'{self.service} upload {size}')
 
     async def _handle_feed(self, request: web.Request) -> web.StreamResponse:
@@ -85,7 +85,7 @@
 
     async def _simulate_work(self, request: web.Request) -> None:
         seconds = float(request.query.get('work', '0'))
-        self.requests += 1
+        self.request_count += 1
         self.running_requests += 1
         self.max_running_requests = max(
             self.max_running_requests, self.running_requests
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -26,7 +26,7 @@
 from keelgap_standins.gossip import (
     TABLE_KEY,
     make_table_document,
-    start_net,
+    start_network,
 )
 from tests.agent.fakes import World
 from tests.balancer.test_forwarding import BOARD, CALLER, PROOF, make_table
@@ -217,10 +217,10 @@
 
     def test_joiner_with_the_service_down(self) -> None:
         """It learns from a seed, at the highest version it heard of."""
-        net = start_net(3, 3)
+        net = start_network(3, 3)
         net.put(TABLE_KEY, make_table_document(2))
         net.run(2)
-        net.switch_service(away=True)
+        net.switch_service(is_service_unavailable=True)
         recorder = Recorder(net.now)
         recorder.tell('The service is down; a joiner knows one seed.')
         seed = next(iter(net.processes))
--- a/tests/keelgap/machine.py
+++ b/tests/keelgap/machine.py
@@ -12,11 +12,11 @@
 from keelgap_standins.gossip import (
     INSTANCES_KEY,
     TABLE_KEY,
-    GossipNet,
     Process,
+    SimulatedNetwork,
     make_instances,
     make_table_document,
-    start_net,
+    start_network,
 )
 
 PROCESSES = 6
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         """Start a net that agrees on revision 1."""
         super().__init__()
-        self.net: GossipNet = start_net(1, PROCESSES)
+        self.net: SimulatedNetwork = start_network(1, PROCESSES)
         self.revision = 1
         self.bad: set[int] = set()
         self.list_revision = 1
@@ -68,17 +68,17 @@
         if old not in self.bad:
             self.net.put(TABLE_KEY, make_table_document(old))
 
-    @rule(away=st.booleans())
-    def switch_service(self, away: bool) -> None:
+    @rule(is_service_unavailable=st.booleans())
+    def switch_service(self, is_service_unavailable: bool) -> None:
         """The service goes away, or comes back."""
-        self.net.switch_service(away)
+        self.net.switch_service(is_service_unavailable)
 
     @rule(index=which)
     def pause_or_wake(self, index: int) -> None:
         """A process stops, or goes on."""
         control = self.pick(index)
         if self.net.processes[control].paused:
-            self.net.wake(control)
+            self.net.resume(control)
         else:
             self.net.pause(control)
 
@@ -104,17 +104,17 @@
         """Two processes lose each other, or meet again."""
         pair = frozenset((self.pick(first), self.pick(second)))
         if len(pair) == 2:
-            self.net.cut ^= {pair}
+            self.net.partitioned_pairs ^= {pair}
 
-    @rule(loss=st.sampled_from((0, 0.3, 0.9)))
-    def lose(self, loss: float) -> None:
+    @rule(loss_rate=st.sampled_from((0, 0.3, 0.9)))
+    def lose(self, loss_rate: float) -> None:
         """The network loses messages."""
-        self.net.loss = loss
+        self.net.loss_rate = loss_rate
 
     @rule(share=st.sampled_from((0, 0.5)))
     def double(self, share: float) -> None:
         """The network doubles messages, and some come late."""
-        self.net.doubled = share
+        self.net.duplicate_rate = share
 
     @rule(seconds=st.sampled_from((0.05, 0.5, 3, 12)))
     def wait(self, seconds: float) -> None:
@@ -127,7 +127,7 @@
         for process in (*self.net.processes.values(), *self.gone):
             versions = [
                 (entry.revision, entry.digest)
-                for entry in process.in_force
+                for entry in process.applied_versions
                 if entry.key == TABLE_KEY
             ]
             assert versions == sorted(set(versions)), 'the table reverted'
@@ -143,13 +143,13 @@
     def teardown(self) -> None:
         """With all faults gone, all agree on the highest."""
         net = self.net
-        net.cut.clear()
-        net.loss = 0
-        net.doubled = 0
+        net.partitioned_pairs.clear()
+        net.loss_rate = 0
+        net.duplicate_rate = 0
         for control, process in net.processes.items():
             if process.paused:
-                net.wake(control)
-        net.switch_service(away=False)
+                net.resume(control)
+        net.switch_service(is_service_unavailable=False)
         self.publish_list()
         highest = max(one.get_revision() for one in net.processes.values())
         net.run(40)
--- a/tests/site/test_faults.py
+++ b/tests/site/test_faults.py
@@ -35,7 +35,7 @@
         """Its two datagrams go through different balancers."""
         for _ in range(5):
             async with open_caller(
-                self.site.public('board'),
+                self.site.get_public_address('board'),
                 alpn_protocols=_LONG_PROTOCOLS,
             ) as caller:
                 answer = await caller.request('GET', '/hello')
@@ -44,7 +44,7 @@
 
     async def test_feed_survives_the_death_of_a_balancer(self) -> None:
         """Another live balancer takes over in both directions."""
-        async with open_caller(self.site.public('board')) as caller:
+        async with open_caller(self.site.get_public_address('board')) as caller:
             feed = asyncio.create_task(self.follow_feed(caller, 20))
             await asyncio.sleep(0.5)
             await self.site.kill_balancer('balancer-1')
@@ -53,12 +53,14 @@
 
     async def test_only_flows_of_a_killed_agent_break(self) -> None:
         """They end at once when it is back; new flows go elsewhere."""
-        async with open_caller(self.site.public('board')) as caller:
+        async with open_caller(self.site.get_public_address('board')) as caller:
             feed = asyncio.create_task(self.follow_feed(caller, 100))
             await asyncio.sleep(0.3)
             victim = self.find_agents_with_flows()[0]
             await self.site.kill_agent(victim.name)
-            async with open_caller(self.site.public('board')) as other:
+            async with open_caller(
+                self.site.get_public_address('board')
+            ) as other:
                 answer = await other.request('GET', '/hello')
             self.assertEqual(answer.status, 200)
             await self.site.restart_agent(victim.name)
@@ -70,12 +72,12 @@
 
     async def test_flow_goes_around_a_partition(self) -> None:
         """Two balancers lose the owner, a third still reaches it."""
-        async with open_caller(self.site.public('board')) as caller:
+        async with open_caller(self.site.get_public_address('board')) as caller:
             await caller.request('GET', '/hello')
             owner = self.find_agents_with_flows()[0]
             for name in ('balancer-1', 'balancer-2'):
                 self.cut(self.site.balancers[name], owner)
-            self.site.config.away = True
+            self.site.config_service.is_unavailable = True
             self.assertEqual(await self.follow_feed(caller, 60), 60)
             answer = await caller.request('GET', '/hello')
         self.assertEqual(answer.status, 200)
@@ -84,22 +86,24 @@
 
     async def test_new_flows_avoid_a_silent_agent(self) -> None:
         """While the service is away and the list still shows it live."""
-        self.site.config.away = True
+        self.site.config_service.is_unavailable = True
         victim = self.site.agents['board-1']
         await self.site.kill_agent('board-1')
         for _ in range(12):
-            async with open_caller(self.site.public('board')) as caller:
+            async with open_caller(
+                self.site.get_public_address('board')
+            ) as caller:
                 answer = await caller.request('GET', '/hello')
             self.assertEqual(answer.status, 200)
         self.assertGreater(self.count_events('suspected'), 0)
-        self.assertEqual(victim.upstream.requests, 0)
+        self.assertEqual(victim.upstream.request_count, 0)
 
     async def test_flow_survives_a_new_address_of_its_caller(self) -> None:
         """A NAT may forget a caller and give it another port."""
-        async with open_caller(self.site.public('board')) as caller:
+        async with open_caller(self.site.get_public_address('board')) as caller:
             await caller.request('GET', '/hello')
             before = caller.port
-            await caller.move()
+            await caller.migrate()
             self.assertNotEqual(caller.port, before)
             answer = await caller.request('GET', '/hello')
         self.assertEqual(answer.status, 200)
@@ -110,7 +114,7 @@
         for agent in self.site.agents.values():
             flows = agent.server.driver.ports.flows
             flows.count_handshakes = lambda: 64  # type: ignore[method-assign]
-        async with open_caller(self.site.public('board')) as caller:
+        async with open_caller(self.site.get_public_address('board')) as caller:
             answer = await caller.request('GET', '/hello')
         self.assertEqual(answer.status, 200)
         self.assertEqual(self.count_events('flows_challenged'), 1)
@@ -118,9 +122,9 @@
     async def test_slow_upstream_holds_an_upload_back(self) -> None:
         """No more than the window waits in the agent."""
         for agent in self.site.agents.values():
-            agent.upstream.read_pause = 0.02
+            agent.upstream.upload_pause_seconds = 0.02
         longest = 0
-        async with open_caller(self.site.public('proof')) as caller:
+        async with open_caller(self.site.get_public_address('proof')) as caller:
             upload = asyncio.create_task(caller.upload('/upload', 4000000))
             while not upload.done():
                 await asyncio.sleep(0.01)
@@ -133,7 +137,7 @@
 
     async def test_upload_survives_replacement_of_every_balancer(self) -> None:
         """A planned change cuts nothing."""
-        async with open_caller(self.site.public('proof')) as caller:
+        async with open_caller(self.site.get_public_address('proof')) as caller:
             upload = asyncio.create_task(
                 caller.upload('/upload', 2000000, pause=0.1),
             )
@@ -147,7 +151,7 @@
 
     async def test_feed_on_a_draining_upstream_ends_by_itself(self) -> None:
         """New flows go elsewhere, the agent exits after the feed."""
-        async with open_caller(self.site.public('board')) as caller:
+        async with open_caller(self.site.get_public_address('board')) as caller:
             feed = asyncio.create_task(self.follow_feed(caller, 25))
             await asyncio.sleep(0.3)
             leaving = self.find_agents_with_flows()[0]
@@ -155,12 +159,14 @@
                 self.site.retire_agent(leaving.name),
             )
             await asyncio.sleep(1)
-            before = leaving.upstream.requests
+            before = leaving.upstream.request_count
             for _ in range(4):
-                async with open_caller(self.site.public('board')) as other:
+                async with open_caller(
+                    self.site.get_public_address('board')
+                ) as other:
                     answer = await other.request('GET', '/hello')
                 self.assertEqual(answer.status, 200)
-            self.assertEqual(leaving.upstream.requests, before)
+            self.assertEqual(leaving.upstream.request_count, before)
             self.assertEqual(await feed, 25)
         await asyncio.wait_for(retire, 10)
 
@@ -173,6 +179,8 @@
             seconds=3,
         )
         for _ in range(4):
-            async with open_caller(self.site.public('board')) as caller:
+            async with open_caller(
+                self.site.get_public_address('board')
+            ) as caller:
                 await caller.request('GET', '/hello')
-        self.assertEqual(leaving.upstream.requests, 0)
+        self.assertEqual(leaving.upstream.request_count, 0)
--- a/tests/site/test_programs.py
+++ b/tests/site/test_programs.py
@@ -103,16 +103,16 @@
         )
         upstream = Upstream('board', 'board-1')
         await upstream.start(Address(agent_host, 8080), self.stack)
-        self.site.rows['board-1'] = {
+        self.site.upstream_rows['board-1'] = {
             'name': 'board-1',
             'service': 'board',
             'agent': f'{agent_host}:7001',
         }
-        self.site.publish()
+        self.site.publish_table()
         self.site.fabric.balancers.append(balancer_host)
         admins = (f'{agent_host}:7003', f'{balancer_host}:7003')
         await self.wait_until_current(admins)
-        async with open_caller(self.site.public('board')) as caller:
+        async with open_caller(self.site.get_public_address('board')) as caller:
             answer = await caller.request('GET', '/hello')
         self.assertEqual(answer.body, b'board /hello')
         await self.check_read_back(admins[1])
@@ -154,8 +154,8 @@
         revision = report['table']['revision']
         self.assertEqual(revision, self.site.revision)
         self.assertIsNone(report['table']['refused'])
-        rows = report['content']['upstreams']
-        self.assertEqual([row['name'] for row in rows], ['board-1'])
+        upstream_rows = report['content']['upstreams']
+        self.assertEqual([row['name'] for row in upstream_rows], ['board-1'])
         _, output, _ = await self.run_program(
             'keelgap',
             'show',
