--- a/packages/keelgap-agent/src/keelgap_agent/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/reducer.py
@@ -16,7 +16,7 @@
     handle_upstream_state,
 )
 from keelgap_agent.effects import AgentEffect
-from keelgap_agent.flows.choice import (
+from keelgap_agent.flows.admission import (
     close_idle_flows,
     expire_handovers,
     handle_flow_closed,
--- a/packages/keelgap-agent/src/keelgap_agent/requests/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/admission.py
@@ -10,8 +10,8 @@
     Observe,
     StartRequest,
 )
+from keelgap_agent.requests.completion import refuse
 from keelgap_agent.requests.peers import choose_peer
-from keelgap_agent.requests.settling import refuse
 from keelgap_agent.state import AgentState, Phase, Request
 
 __all__ = (
--- a/packages/keelgap-agent/src/keelgap_agent/requests/keyed.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/keyed.py
@@ -14,6 +14,7 @@
 )
 from keelgap_agent.events import RequestHead
 from keelgap_agent.requests.admission import admit
+from keelgap_agent.requests.completion import complete, make_answer, refuse
 from keelgap_agent.requests.ledger import EntryState, LedgerEntry, LedgerKey
 from keelgap_agent.requests.peers import is_listed
 from keelgap_agent.requests.problems import (
@@ -28,7 +29,6 @@
     Problem,
     ProblemType,
 )
-from keelgap_agent.requests.settling import complete, make_answer, refuse
 from keelgap_agent.requests.tickets import (
     MalformedKey,
     Ticket,
--- a/packages/keelgap-agent/src/keelgap_agent/requests/lifecycle.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/lifecycle.py
@@ -18,17 +18,17 @@
     release_slot,
     start_queued,
 )
-from keelgap_agent.requests.keyed import admit_keyed, issue_ticket
-from keelgap_agent.requests.ledger import EntryState
-from keelgap_agent.requests.outcomes import Outcome, OutcomeKind, StoredAnswer
-from keelgap_agent.requests.problems import NOT_RUN, UPSTREAM_FAILED, Problem
-from keelgap_agent.requests.settling import (
+from keelgap_agent.requests.completion import (
     answer_all,
     complete_without_answer,
     refuse,
     refuse_all,
     remove_from_flow,
 )
+from keelgap_agent.requests.keyed import admit_keyed, issue_ticket
+from keelgap_agent.requests.ledger import EntryState
+from keelgap_agent.requests.outcomes import Outcome, OutcomeKind, StoredAnswer
+from keelgap_agent.requests.problems import NOT_RUN, UPSTREAM_FAILED, Problem
 from keelgap_agent.state import AgentState, Phase, Request, match_class
 
 __all__ = (
--- a/packages/keelgap-agent/src/keelgap_agent/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/server.py
@@ -34,7 +34,7 @@
     StopRequested,
     TableChanged,
 )
-from keelgap_agent.flows.choice import accepts_service
+from keelgap_agent.flows.admission import accepts_service
 from keelgap_agent.metrics import AgentMetrics
 from keelgap_agent.ports import AgentPorts
 from keelgap_agent.quic.flow_table import FlowHooks, FlowTable
