--- a/packages/keelgap-agent/src/keelgap_agent/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/server.py
@@ -15,15 +15,15 @@
     start_admin,
 )
 from keelgap.control.messages import Answer, Ask, Delivery
-from keelgap.dissemination.state import ParsedDocument
-from keelgap.exceptions import Fault, ImproperlyConfigured
-from keelgap.keys import load_keys
-from keelgap.plane import (
+from keelgap.control_plane import (
     ControlPlane,
     ControlPlaneSettings,
     make_incarnation,
     start_control_plane,
 )
+from keelgap.dissemination.state import ParsedDocument
+from keelgap.exceptions import Fault, ImproperlyConfigured
+from keelgap.keys import load_keys
 from keelgap.routing.connection_ids import FlowOwner
 from keelgap.table import Table
 from keelgap.wire.packets import CONNECTION_ID_LENGTH
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/show.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/show.py
@@ -7,8 +7,8 @@
 import msgspec
 from fire.decorators import SetParseFns
 
+from keelgap.admin_client import Unreachable, fetch_page
 from keelgap.process import EXIT_FAULTS
-from keelgap.readback import Unreachable, fetch_page
 
 __all__ = ('Show',)
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/status.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/status.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
+from keelgap.admin_client import PageResult, fetch_pages
 from keelgap.process import EXIT_FAULTS
-from keelgap.readback import PageResult, fetch_pages
 
 __all__ = ('status',)
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/server.py
@@ -11,15 +11,15 @@
     start_admin,
 )
 from keelgap.control.messages import Delivery
-from keelgap.dissemination.state import ParsedDocument
-from keelgap.keys import load_keys
-from keelgap.metrics import SharedMetrics
-from keelgap.plane import (
+from keelgap.control_plane import (
     ControlPlane,
     ControlPlaneSettings,
     make_incarnation,
     start_control_plane,
 )
+from keelgap.dissemination.state import ParsedDocument
+from keelgap.keys import load_keys
+from keelgap.metrics import SharedMetrics
 from keelgap.table import Table
 from keelgap_balancer.conf import BalancerSettings
 from keelgap_balancer.defaults import TIMER_SECONDS
--- a/packages/keelgap-standins/src/keelgap_standins/config_service.py
+++ b/packages/keelgap-standins/src/keelgap_standins/config_service.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from keelgap.addresses import Address
-from keelgap.dissemination.source import INDEX_HEADER
+from keelgap.dissemination.document_reader import INDEX_HEADER
 
 __all__ = ('ConfigService',)
 
--- a/packages/keelgap/src/keelgap/plane.py
+++ b/packages/keelgap/src/keelgap/control_plane.py
@@ -17,8 +17,8 @@
 )
 from keelgap.control.channel import ControlChannel
 from keelgap.control.messages import Delivery
+from keelgap.dissemination.document_reader import DocumentReader
 from keelgap.dissemination.driver import DisseminationDriver, make_parsers
-from keelgap.dissemination.source import DocumentReader
 from keelgap.dissemination.state import (
     DisseminationIdentity,
     DisseminationState,
--- a/packages/keelgap/src/keelgap/dissemination/driver.py
+++ b/packages/keelgap/src/keelgap/dissemination/driver.py
@@ -10,6 +10,7 @@
 from keelgap.control.channel import ControlChannel
 from keelgap.control.messages import Delivery
 from keelgap.dissemination import defaults
+from keelgap.dissemination.document_reader import DocumentReader
 from keelgap.dissemination.documents import Document
 from keelgap.dissemination.effects import (
     Count,
@@ -27,7 +28,6 @@
     TimerFired,
 )
 from keelgap.dissemination.reducer import reduce
-from keelgap.dissemination.source import DocumentReader
 from keelgap.dissemination.state import (
     DisseminationState,
     DocumentKeys,
--- a/tests/keelgap/test_parts.py
+++ b/tests/keelgap/test_parts.py
@@ -11,7 +11,7 @@
 from experiments.slopes import make_table
 from keelgap.addresses import Address
 from keelgap.conf import ConfigServiceSettings
-from keelgap.dissemination.source import DocumentReader
+from keelgap.dissemination.document_reader import DocumentReader
 from keelgap.exceptions import TableRefused
 from keelgap.table.loader import MAX_DOCUMENT_LENGTH, load_table
 from keelgap.table.parts import PartMismatch, join_parts, split_table
