--- a/experiments/slopes.py
+++ b/experiments/slopes.py
@@ -51,7 +51,7 @@
 from keelgap_balancer.events import InstancesChanged, TableChanged, TimerFired
 from keelgap_balancer.reducer import reduce
 from keelgap_balancer.state import BalancerState
-from keelgap_standins.gossip import start_network
+from keelgap_standins.simulated_network import start_network
 
 _ROWS: Final = (1000, 4000, 8500, 17000)
 _ROWS_A_SERVICE: Final = 2.2
--- a/experiments/spread.py
+++ b/experiments/spread.py
@@ -11,7 +11,7 @@
 
 from keelgap.addresses import Address
 from keelgap.dissemination.events import RevisionSeen
-from keelgap_standins.gossip import (
+from keelgap_standins.simulated_network import (
     TABLE_KEY,
     SimulatedNetwork,
     make_table_document,
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -23,7 +23,7 @@
 )
 from keelgap_balancer.reducer import reduce
 from keelgap_balancer.state import BalancerState
-from keelgap_standins.gossip import (
+from keelgap_standins.simulated_network import (
     TABLE_KEY,
     make_table_document,
     start_network,
--- a/tests/keelgap/machine.py
+++ b/tests/keelgap/machine.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from keelgap.addresses import Address
-from keelgap_standins.gossip import (
+from keelgap_standins.simulated_network import (
     INSTANCES_KEY,
     TABLE_KEY,
     Process,
--- a/tests/keelgap/test_dissemination.py
+++ b/tests/keelgap/test_dissemination.py
@@ -7,7 +7,7 @@
 from keelgap.addresses import Address
 from keelgap.dissemination.defaults import READER_COUNT
 from keelgap.dissemination.state import DocumentKeys
-from keelgap_standins.gossip import (
+from keelgap_standins.simulated_network import (
     INSTANCES_KEY,
     TABLE_KEY,
     SimulatedNetwork,
