--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/catalog_changes.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/catalog_changes.py
@@ -264,7 +264,7 @@
         if state.agents_by_host.get(host) is not view
     }
     for search in state.searches.values():
-        search.missed -= changed
+        search.denied_by -= changed
         search.declined_by -= changed
         search.queried_hosts = [
             host for host in search.queried_hosts if host not in changed
