--- a/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/score.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/outlier_ejection/score.py
@@ -72,7 +72,10 @@
         self._by_route: dict[bytes, _RouteScore] = {}
 
     def record_success(self, route: bytes, now: float) -> None:
-        """Lower the scores of lost requests and of the route: it succeeded."""
+        """Record a good response on a route.
+
+        This lowers the score of the route and the score for lost requests.
+        """
         self._lost_total = max(self._lost_total - defaults.SUCCESS_WEIGHT, 0)
         score = self._get_route_score(route)
         score.total = max(score.total - defaults.SUCCESS_WEIGHT, 0)
--- a/packages/keelgap-agent/src/keelgap_agent/packets/pending_openings.py
+++ b/packages/keelgap-agent/src/keelgap_agent/packets/pending_openings.py
@@ -43,7 +43,8 @@
 ) -> Effects:
     """Queue an opening packet and request a notice from its balancer.
 
-    If the queue is full, the packet is dropped.
+    The notice names the directory nodes, which the agent needs to register the
+    flow.  If the queue is full, the packet is dropped.
     """
     pending_openings = state.registrar.pending_openings
     is_copy = key in pending_openings
--- a/packages/keelgap-agent/src/keelgap_agent/requests/request_effects.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/request_effects.py
@@ -117,6 +117,7 @@
         request_id: int,
         run: asyncio.Task[Outcome],
     ) -> None:
+        """Report the outcome of a run and drop its exchange if completed."""
         self.runs.pop(request_id, None)
         finished = events.RequestFinished(
             self.driver.loop.time(),
--- a/packages/keelgap-agent/src/keelgap_agent/requests/tickets.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/tickets.py
@@ -41,7 +41,10 @@
 
 
 class MalformedKey(KeelgapError):
-    """An Idempotency-Key is not a ticket, a dot and a suffix."""
+    """An Idempotency-Key is not a ticket, a dot and a suffix.
+
+    A ticket is the signed permit that an agent issues for such a request.
+    """
 
     code = 'malformed_key'
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/catalog_changes.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/catalog_changes.py
@@ -296,7 +296,7 @@
 
 
 def forget_missing_upstreams(state: PacketState, now: float) -> None:
-    """Forget upstreams that have long had no entry and sent no message."""
+    """Forget upstreams long missing from the catalog with silent agents."""
     expired = [
         identity
         for identity in state.missing
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/events.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/events.py
@@ -37,7 +37,7 @@
 
 
 class CatalogChanged(NamedTuple):
-    """A catalog with later routes or upstreams was read."""
+    """A new catalog, read from the store or from a peer, is to be applied."""
 
     now: float
     catalog: Catalog
--- a/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_search.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/packets/owner_search.py
@@ -251,10 +251,11 @@
 
 
 def continue_overdue_searches(state: PacketState, now: float) -> Effects:
-    """Continue searches that have waited too long since their latest query.
+    """Continue owner searches whose latest query was too long ago.
 
     Callers repeat their packets too seldom to keep a search going.  A search
-    that awaits no answer, but is undecided, queries the directory again.
+    that awaits no answer, but has neither found an owner nor denied the flow,
+    queries the flow directory again.
     """
     effects: list[PacketEffect] = []
     for key, search in tuple(state.searches.items()):
@@ -270,8 +271,8 @@
 def _is_overdue(state: PacketState, search: FlowSearch, now: float) -> bool:
     """Return whether a search has waited long enough to continue.
 
-    While an agent's answer is pending, it continues only if another agent is
-    left to query.
+    While an agent's answer is pending, the search continues only if another
+    agent is left to query.
     """
     if not search.latest_packet or search.is_suspended:
         return False
--- a/packages/keelgap-standins/src/keelgap_standins/load.py
+++ b/packages/keelgap-standins/src/keelgap_standins/load.py
@@ -151,6 +151,7 @@
     """Read a live feed to its end."""
 
     async def send_request() -> None:
+        """Read the feed once over a new connection and record the result."""
         statistics.counts['flows'] += 1
         async with open_caller(site.get_public_address('board')) as caller:
             path = f'/feed?count={events}&pause={pause}'
--- a/packages/keelgap-standins/src/keelgap_standins/upstream.py
+++ b/packages/keelgap-standins/src/keelgap_standins/upstream.py
@@ -31,7 +31,10 @@
 
     @property
     def load(self) -> float:
-        """Return the mean number of busy slots since the start."""
+        """Return the mean number of requests in progress since the start.
+
+        Only the work of finished requests is counted.
+        """
         uptime = asyncio.get_running_loop().time() - self.started_at
         return self.busy_seconds / uptime
 
@@ -53,6 +56,7 @@
         return web.json_response({'state': state})
 
     async def _handle_page(self, request: web.Request) -> web.Response:
+        """Respond with the service and the path after simulated work."""
         await self._simulate_work(request)
         return self._make_response(f'{self.service} {request.path}')
 
--- a/packages/keelgap/src/keelgap/admin.py
+++ b/packages/keelgap/src/keelgap/admin.py
@@ -71,7 +71,7 @@
     state: DisseminationState,
     now: float,
 ) -> TableReport:
-    """Return the status of this process and the table it works with."""
+    """Return the status of this process and the table of services in force."""
     held = state.held[state.identity.document_keys.table]
     return TableReport(
         **make_status_report(name, state, now),
--- a/packages/keelgap/src/keelgap/catalog/driver.py
+++ b/packages/keelgap/src/keelgap/catalog/driver.py
@@ -50,7 +50,10 @@
     """Store client of a platform; it reports each result as an event."""
 
     def read_page(self, after: str) -> None:
-        """Request the page of entries after a key, or the first if empty."""
+        """Request the page of entries after a key.
+
+        An empty key requests the first page.
+        """
 
     def read_first_page_again(self) -> None:
         """Request the first page again; earlier requests stay pending."""
--- a/packages/keelgap/src/keelgap/catalog/follower.py
+++ b/packages/keelgap/src/keelgap/catalog/follower.py
@@ -202,7 +202,11 @@
 
 
 def _handle_peer_ahead(state: FollowerState, event: PeerAhead) -> Effects:
-    """Record a peer with a later revision; fetch its catalog if due."""
+    """Record a peer that holds a later revision of the catalog.
+
+    Its catalog is fetched now unless the store may still deliver that revision
+    or a peer was asked shortly before.
+    """
     if event.revision <= state.revision:
         return ()
     if state.peer_ahead is None:
--- a/packages/keelgap/src/keelgap/catalog/state.py
+++ b/packages/keelgap/src/keelgap/catalog/state.py
@@ -63,7 +63,7 @@
 
     @property
     def max_retry_pause(self) -> float:
-        """Return the maximum pause before a retry, in seconds."""
+        """Return the maximum pause before a store retry, in seconds."""
         return defaults.RETRY_MAX_SECONDS * self.retry_scale
 
     @property
--- a/packages/keelgap/src/keelgap/dissemination/driver.py
+++ b/packages/keelgap/src/keelgap/dissemination/driver.py
@@ -138,6 +138,7 @@
             self.effect_handlers[type(effect)](effect)
 
     def _put_in_force(self, effect: PutInForce) -> None:
+        """Apply an accepted document and record its version."""
         version = effect.document.version
         if effect.key == self.state.identity.document_keys.table:
             self.metrics.table_revision.set(version.revision)
