--- a/packages/keelgap-agent/src/keelgap_agent/requests/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/admission.py
@@ -48,6 +48,7 @@
     now: float,
     reason: str,
 ) -> Effects:
+    """Pass a request on to another agent, or refuse it."""
     passed_on = pass_to_peer(state, request, now)
     return passed_on or refuse(state, request, reason, 0)
 
@@ -83,6 +84,11 @@
 
 
 def _enqueue(state: AgentState, request: Request, now: float) -> Effects:
+    """Queue a request by priority, or refuse it.
+
+    A request is refused if its deadline is too near.  If the queue is full,
+    the one that sorts last is refused.
+    """
     wait = estimate_wait(state, request, now)
     if now + wait > request.deadline_at:
         return refuse(state, request, 'deadline_too_near', wait)
@@ -100,12 +106,16 @@
 
 
 def _get_sort_key(request: Request) -> tuple[int, float, int]:
+    """Return the key that orders the queue by priority, then by arrival."""
     priority = request.traffic_class.priority
     return (priority, request.arrived_at, request.request_id)
 
 
 def estimate_wait(state: AgentState, request: Request, now: float) -> float:
-    """Return the estimated seconds until a request would get a slot."""
+    """Return the estimated seconds until a request would get a slot.
+
+    A slot is the permission to run one request against the upstream.
+    """
     sort_key = _get_sort_key(request)
     ahead = sum(_get_sort_key(other) < sort_key for other in state.queue)
     slots = max(1, state.count_slots(now))
@@ -113,6 +123,7 @@
 
 
 def _start(state: AgentState, request: Request, now: float) -> Effects:
+    """Start a request, and occupy a slot if its traffic class takes one."""
     if request.traffic_class.takes_slot:
         state.busy += 1
     request.phase = Phase.RUNNING
--- a/packages/keelgap-agent/src/keelgap_agent/requests/completion.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/completion.py
@@ -53,6 +53,7 @@
 
 
 def _remove(state: AgentState, request_id: int) -> Request | None:
+    """Remove a request from all requests and from those that await a peer."""
     state.awaiting_peer.pop(request_id, None)
     return state.requests.pop(request_id, None)
 
@@ -87,7 +88,7 @@
     request_ids: tuple[int, ...],
     problem: Problem,
 ) -> Effects:
-    """Complete several attempts with the same problem."""
+    """Refuse several attempts of one request with the same problem."""
     effects: list[AgentEffect] = []
     for request_id in request_ids:
         refusal = RefuseRequest(request_id, problem)
@@ -100,7 +101,7 @@
     request_ids: tuple[int, ...],
     answer: StoredAnswer,
 ) -> Effects:
-    """Complete several attempts with the same answer."""
+    """Answer several attempts of one request with the same stored answer."""
     effects: list[AgentEffect] = []
     for request_id in request_ids:
         effect = make_answer(request_id, answer)
--- a/packages/keelgap-agent/src/keelgap_agent/requests/keyed.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/keyed.py
@@ -48,7 +48,7 @@
     head: RequestHead,
     now: float,
 ) -> Effects:
-    """Answer with a ticket that is valid at this incarnation."""
+    """Answer with a ticket that is valid until this agent process ends."""
     service = state.service
     if service is None or state.is_leaving or state.ledger.is_full:
         return _refuse_with(state, request, LEDGER_FULL, 'no_ticket')
@@ -72,7 +72,10 @@
     head: RequestHead,
     now: float,
 ) -> Effects:
-    """Admit a keyed request, repeat its outcome, or ask its issuer."""
+    """Admit a request with an Idempotency-Key, or repeat its earlier outcome.
+
+    If another agent issued the key's ticket, that agent is asked to decide.
+    """
     if head.key is None:
         return _refuse_with(state, request, TICKET_REQUIRED, 'no_key')
     try:
@@ -93,6 +96,7 @@
 
 
 def _read_key(state: AgentState, text: str) -> tuple[Ticket, str]:
+    """Return the ticket and the suffix of an Idempotency-Key."""
     ticket_text, suffix = split_key(text)
     return state.tickets.decode(ticket_text), suffix
 
@@ -102,6 +106,10 @@
     head: RequestHead,
     ticket: Ticket,
 ) -> str | None:
+    """Return why a ticket does not fit a request, or None if it does.
+
+    The ticket must be issued for the same service and the same caller.
+    """
     if state.service is None or ticket.service != state.service.number:
         return 'foreign_service'
     if ticket.caller != head.caller:
@@ -115,6 +123,10 @@
     key_and_ticket: tuple[LedgerKey, Ticket],
     now: float,
 ) -> Effects:
+    """Admit a request whose ticket this agent process issued.
+
+    A repeated attempt gets the outcome of the first one instead.
+    """
     key, ticket = key_and_ticket
     entry = state.ledger.find(key)
     if entry is not None:
@@ -138,6 +150,10 @@
     key: LedgerKey,
     entry: LedgerEntry,
 ) -> Effects:
+    """Answer an attempt whose key is already in the ledger.
+
+    If the earlier attempt is not finished, this one waits for its outcome.
+    """
     if entry.state is EntryState.ADMITTED:
         request.phase = Phase.WAITING_FOR_OUTCOME
         request.key = key
@@ -162,6 +178,10 @@
     issuer: Address,
     now: float,
 ) -> Effects:
+    """Ask the agent that issued a request's ticket to run or answer it.
+
+    A request that came from another agent is refused instead.
+    """
     if request.from_peer:
         # Agents ask only the issuer itself and never forward an ask.
         return _refuse_with(state, request, TICKET_REFUSED, 'not_issuer')
@@ -173,12 +193,16 @@
 
 
 def _make_ask(request: Request, issuer: Address, now: float) -> AskPeer:
+    """Return the effect that asks the issuer within the request's deadline."""
     remaining = request.deadline_at - now
     return AskPeer(request.request_id, issuer, False, remaining)
 
 
 def retry_issuer_asks(state: AgentState, now: float) -> Effects:
-    """Repeat unanswered asks, and refuse requests that waited too long."""
+    """Repeat asks that ticket issuers have not answered yet.
+
+    Requests that waited too long for an issuer are refused.
+    """
     asking = [
         request
         for request in state.awaiting_peer.values()
@@ -191,6 +215,7 @@
 
 
 def _ask_again(state: AgentState, request: Request, now: float) -> Effects:
+    """Repeat the ask of one request if due, or refuse it after the timeout."""
     issuer = request.issuer
     if issuer is None:
         return ()
@@ -211,6 +236,7 @@
     kind: ProblemType,
     reason: str,
 ) -> Effects:
+    """Count a refusal and complete the request with a problem of this type."""
     retry_after = defaults.ASK_RETRY_SECONDS if kind.is_temporary else None
     problem = Problem(kind, reason, retry_after)
     refusal = RefuseRequest(request.request_id, problem)
--- a/packages/keelgap-agent/src/keelgap_agent/requests/ledger.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/ledger.py
@@ -24,7 +24,7 @@
 
 
 class EntryState(Enum):
-    """States of a keyed request."""
+    """States of a request with an Idempotency-Key."""
 
     ADMITTED = 'admitted'
     ANSWERED = 'answered'
@@ -35,7 +35,7 @@
 
 
 class LedgerEntry:
-    """The state and outcome of one keyed request."""
+    """The state and outcome of one request with an Idempotency-Key."""
 
     __slots__ = ('answer', 'expires_at', 'state', 'waiters')
 
@@ -49,7 +49,7 @@
 
 
 class Ledger:
-    """All keyed requests of one incarnation."""
+    """All requests with keys that one agent process has handled."""
 
     def __init__(self, capacity: int) -> None:
         """Create an empty ledger with a maximum number of entries."""
@@ -98,14 +98,17 @@
         state: EntryState,
         answer: StoredAnswer | None,
     ) -> list[int]:
-        """Record the outcome and return the ids of waiting attempts."""
+        """Record the outcome of a key's request.
+
+        Returns the ids of the attempts that waited for it.
+        """
         entry = self.entries[key]
         entry.state = state
         entry.answer = answer
         return self.pop_waiters(key)
 
     def pop_waiters(self, key: LedgerKey) -> list[int]:
-        """Remove and return the ids of attempts that wait for a key."""
+        """Remove and return the ids of attempts that await a key's outcome."""
         entry = self.entries.get(key)
         if entry is None:
             return []
@@ -128,9 +131,11 @@
                 self.entries.pop(key)
 
     def _list_expired(self, now: float) -> Iterator[LedgerKey]:
+        """Remove and yield the keys whose expiry has passed, oldest first."""
         while self.expiries and self.expiries[0][0] <= now:
             yield self.expiries.popleft()[1]
 
     def _add(self, key: LedgerKey, entry: LedgerEntry) -> None:
+        """Add an entry, and its expiry to the list of expiries."""
         self.entries[key] = entry
         self.expiries.append((entry.expires_at, key))
--- a/packages/keelgap-agent/src/keelgap_agent/requests/lifecycle.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/lifecycle.py
@@ -78,6 +78,7 @@
     event: RequestArrived | PeerAsked,
     flow_id: int | None,
 ) -> Request:
+    """Create and store the state of a request that arrived."""
     head: RequestHead = event.head
     traffic_class = match_class(state.service, head.method, head.path)
     request = Request(event.request_id, flow_id, traffic_class, event.now)
@@ -121,6 +122,11 @@
 
 
 def _cancel_keyed_request(state: AgentState, request: Request) -> Effects:
+    """Cancel a queued request, unless other attempts wait for its outcome.
+
+    A cancelled request is recorded as never to be run.  Any other one goes on
+    without its caller.
+    """
     entry = state.ledger.find(request.key) if request.key else None
     has_waiters = entry is not None and entry.waiters
     if request.phase is Phase.QUEUED and request.key and not has_waiters:
@@ -134,11 +140,13 @@
 
 
 def _leave_queue(state: AgentState, request: Request) -> None:
+    """Remove a request from the queue if it is queued."""
     if request in state.queue:
         state.queue.remove(request)
 
 
 def _stop_waiting(state: AgentState, request: Request) -> None:
+    """Remove a request from those that wait for the outcome of its key."""
     entry = state.ledger.find(request.key) if request.key else None
     if entry is not None and request.request_id in entry.waiters:
         entry.waiters.remove(request.request_id)
@@ -166,6 +174,10 @@
 def _record_upstream_result(
     state: AgentState, kind: OutcomeKind, now: float
 ) -> None:
+    """Record whether the upstream was reachable.
+
+    If nothing could be sent, it counts as down for some seconds.
+    """
     if kind is OutcomeKind.NOT_SENT:
         state.consecutive_failures += 1
         state.down_until = now + defaults.UPSTREAM_DOWN_SECONDS
@@ -179,6 +191,7 @@
     outcome: Outcome,
     now: float,
 ) -> Effects:
+    """Answer, pass on or refuse a request according to how its run ended."""
     if outcome.kind is OutcomeKind.ANSWERED:
         return _conclude_answered(state, request, outcome.answer)
     if outcome.kind is OutcomeKind.NOT_SENT:
@@ -195,6 +208,7 @@
     request: Request,
     answer: StoredAnswer | None,
 ) -> Effects:
+    """Record a streamed answer and repeat it to the waiting attempts."""
     complete_without_answer(state, request.request_id)
     if request.key is None or answer is None:
         return ()
@@ -214,7 +228,10 @@
     entry_state: EntryState,
     answer: StoredAnswer | None,
 ) -> tuple[int, ...]:
-    """Record the outcome of a key and return the waiting attempts."""
+    """Record the outcome of a request's key.
+
+    Returns the ids of the attempts that waited for it.
+    """
     if request.key is None:
         return ()
     return tuple(state.ledger.record_outcome(request.key, entry_state, answer))
@@ -225,6 +242,10 @@
     request: Request,
     reason: str,
 ) -> Effects:
+    """Refuse a request that may have run without an answer.
+
+    Attempts that wait for its outcome get the same problem.
+    """
     waiters = _finish_key(state, request, EntryState.BROKEN, None)
     problem = Problem(UPSTREAM_FAILED, reason)
     return refuse_all(state, (request.request_id, *waiters), problem)
@@ -248,6 +269,7 @@
     request: Request,
     event: PeerAnswered,
 ) -> Effects:
+    """Complete a request with the answer or the problem from its issuer."""
     request_ids = (request.request_id,)
     if event.answer is not None:
         return answer_all(state, request_ids, event.answer)
@@ -261,6 +283,7 @@
     request: Request,
     event: PeerAnswered,
 ) -> Effects:
+    """Complete a request that was passed on, or admit it here if not run."""
     if event.problem is not None and event.problem.kind is NOT_RUN:
         return admit(state, request, event.now)
     if event.answer is None:
@@ -290,6 +313,10 @@
 
 
 def _is_late(request: Request, now: float) -> bool:
+    """Return whether a peer has not answered in time.
+
+    A safe request may be run again soon; another one waits past its deadline.
+    """
     elapsed = now - request.asked_at
     if request.is_safe:
         return elapsed >= defaults.ASK_RETRY_SECONDS
--- a/packages/keelgap-agent/src/keelgap_agent/requests/outcomes.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/outcomes.py
@@ -20,7 +20,7 @@
 
 
 class StoredAnswer(NamedTuple):
-    """An upstream's answer as the ledger keeps it."""
+    """An upstream's answer, kept to be repeated to later attempts."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
--- a/packages/keelgap-agent/src/keelgap_agent/requests/peers.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/peers.py
@@ -22,6 +22,7 @@
 
 
 def _list_peers(state: AgentState) -> Iterator[Address]:
+    """Yield control addresses of live agents of the service's upstreams."""
     if state.service is None:
         return
     rows = state.table.upstreams[state.service.number]
--- a/packages/keelgap-agent/src/keelgap_agent/requests/problems.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/problems.py
@@ -52,6 +52,8 @@
 
 
 class _ProblemDocument(TypedDict):
+    """The JSON body of a problem response."""
+
     type: str
     title: str
     status: int
--- a/packages/keelgap-agent/src/keelgap_agent/requests/request_effects.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/request_effects.py
@@ -35,7 +35,7 @@
         self.runs: dict[int, asyncio.Task[Outcome]] = {}
 
     def start_request(self, effect: effects.StartRequest) -> None:
-        """Start a task that runs a request against the upstream."""
+        """Start a task that sends a request to the upstream."""
         request_id = effect.request_id
         run = asyncio.create_task(
             self.driver.ports.upstream.run(
@@ -49,7 +49,7 @@
         run.add_done_callback(partial(self._finish_run, request_id))
 
     def cancel_run(self, effect: effects.CancelRun) -> None:
-        """Cancel a run, which closes its connection to the upstream."""
+        """Cancel the task of a request and close its upstream connection."""
         run = self.runs.get(effect.request_id)
         if run is not None:
             run.cancel()
@@ -84,7 +84,7 @@
             exchange.send_answer(answer)
 
     def ask_peer(self, effect: effects.AskPeer) -> None:
-        """Send an ask to another agent."""
+        """Send a request to another agent, to be run or answered there."""
         exchange = self.exchanges.get(effect.request_id)
         service = self.driver.state.service
         if exchange is None or service is None:
@@ -129,6 +129,7 @@
             self.exchanges.pop(request_id, None)
 
     def _make_head_observer(self, request_id: int) -> Callable[[], None]:
+        """Return a function that records the seconds until the first byte."""
         loop = self.driver.loop
         histograms = self.driver.ports.metrics.histograms
         request = self.driver.state.requests[request_id]
@@ -138,6 +139,10 @@
         return lambda: observer.observe(loop.time() - started)
 
     def _compute_timeout(self, effect: effects.StartRequest) -> float | None:
+        """Return the seconds that a run may take, or None for no limit.
+
+        Runs with an Idempotency-Key get extra time after the deadline.
+        """
         request = self.driver.state.requests[effect.request_id]
         if not request.traffic_class.takes_slot:
             return None
@@ -148,6 +153,7 @@
 
 
 def _read_outcome(run: asyncio.Task[Outcome]) -> Outcome:
+    """Return the outcome of a finished task."""
     if run.cancelled():
         # The task was cancelled before its first step: nothing was sent.
         return Outcome(OutcomeKind.CANCELLED)
--- a/packages/keelgap-agent/src/keelgap_agent/requests/tickets.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/tickets.py
@@ -119,6 +119,7 @@
         return Ticket(unpack_address(issuer), *other_fields)
 
     def _compute_mac(self, key_id: int, body: bytes) -> bytes:
+        """Return the authentication code of a ticket's body under one key."""
         key = self.keys.get(key_id)
         if key is None:
             raise TicketRefused
--- a/packages/keelgap-agent/src/keelgap_agent/requests/upstream.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/upstream.py
@@ -42,6 +42,8 @@
 
 
 class _StateDocument(TypedDict):
+    """The JSON document in which an upstream reports its state."""
+
     state: str
 
 
@@ -56,7 +58,7 @@
         self.size = 0
 
     def add(self, part: bytes) -> None:
-        """Store a part, unless the answer has become too long."""
+        """Store a part, unless the answer is too long for the ledger."""
         self.size += len(part)
         if self.size <= MAX_STORED_ANSWER_OCTETS:
             self.parts.append(part)
@@ -122,6 +124,7 @@
         recorder: AnswerRecorder,
         on_head: Callable[[], None],
     ) -> None:
+        """Send a request and stream the answer to its caller and recorder."""
         async with self.session.request(
             exchange.upstream_head.method,
             self.url + exchange.upstream_head.path,
@@ -145,6 +148,7 @@
         exchange: Exchange,
         deadline_seconds: float,
     ) -> CIMultiDict[str]:
+        """Return the end-to-end headers and the seconds to the deadline."""
         headers = CIMultiDict(
             (name.decode('latin-1'), text.decode('latin-1'))
             for name, text in strip_hop_by_hop_headers(
@@ -155,6 +159,7 @@
         return headers
 
     def _choose_body(self, exchange: Exchange) -> object:
+        """Return the body to send, or None if the request has none."""
         body = exchange.body
         if body.ended and not body.chunks:
             return None
