--- a/packages/keelgap-agent/src/keelgap_agent/quic/connections.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/connections.py
@@ -36,7 +36,7 @@
 
 
 class CallerConnection:
-    """The connection of one flow."""
+    """The QUIC connection of one caller and its request streams."""
 
     def __init__(
         self,
@@ -97,6 +97,7 @@
         self.quic.forget_stream(stream_id)
 
     def _map_handlers(self) -> Mapping[type, Callable[[Any], None]]:
+        """Return the handler of each type of QUIC event."""
         return MappingProxyType({
             quic_events.ConnectionTerminated: self._handle_termination,
             quic_events.ProtocolNegotiated: self._start_http,
@@ -108,11 +109,13 @@
         })
 
     def _process_quic(self, event: quic_events.QuicEvent) -> None:
+        """Pass a QUIC event to its handler; other types are ignored."""
         handler = self.event_handlers.get(type(event))
         if handler is not None:
             handler(event)
 
     def _start_http(self, event: quic_events.ProtocolNegotiated) -> None:
+        """Create the HTTP/3 connection once the protocol is negotiated."""
         self.http = H3Connection(self.quic)
         self.transport = StreamTransport(
             self.flow_id,
@@ -151,6 +154,7 @@
         self.hooks.transmit(self)
 
     def _process_http(self, event: H3Event) -> None:
+        """Handle the headers or the data of a request."""
         if isinstance(event, HeadersReceived):
             self._handle_headers(event)
         elif isinstance(event, DataReceived):
@@ -162,6 +166,7 @@
                 stream.body.feed(event.data, ended=event.stream_ended)
 
     def _handle_headers(self, event: HeadersReceived) -> None:
+        """Open a stream for a new request, or end its body at the trailers."""
         open_stream = self.streams.get(event.stream_id)
         if open_stream is not None:
             # Trailers are not forwarded; they only end the body.
@@ -192,11 +197,13 @@
             stream.reject()
 
     def _submit_after_wait(self, stream: CallerStream) -> None:
+        """Submit a request whose body was awaited for BODY_WAIT_SECONDS."""
         stream.body_wait_expired = True
         if stream.stream_id in self.streams:
             stream.submit(self.hooks.on_request)
 
     def _cancel(self, stream_id: int) -> None:
+        """Abandon the stream of a request and report its cancellation."""
         stream = self.streams.get(stream_id)
         if stream is not None:
             stream.abandon()
@@ -206,6 +213,7 @@
     def _handle_termination(
         self, event: quic_events.ConnectionTerminated
     ) -> None:
+        """Cancel all open requests and report the end of the connection."""
         self.closed = True
         for stream_id in tuple(self.streams):
             self._cancel(stream_id)
--- a/packages/keelgap-agent/src/keelgap_agent/quic/flow_table.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/flow_table.py
@@ -29,7 +29,7 @@
 
 
 class FlowOffer(NamedTuple):
-    """A first datagram for which admission has to decide."""
+    """The first datagram of a new flow, which the agent accepts or refuses."""
 
     envelope: Envelope
     #: Balancer through which answers reach the caller.
@@ -94,7 +94,7 @@
     def accept(
         self, offer: FlowOffer, hooks: ConnectionHooks
     ) -> CallerConnection:
-        """Open and return the connection of an accepted offer."""
+        """Open the flow of an accepted offer and return its connection."""
         envelope = offer.envelope
         quic = AgentQuicConnection(
             self.configuration,
@@ -160,12 +160,14 @@
             self.by_id.pop(connection_id, None)
 
     def _receive(self, datagram: bytes, sender: tuple[str, int]) -> None:
+        """Handle a datagram, and count it as dropped if it is invalid."""
         try:
             self._handle_datagram(datagram, Address(*sender))
         except WireError as error:
             self.sender.metrics.drops.labels(error.code).inc()
 
     def _handle_datagram(self, datagram: bytes, sender: Address) -> None:
+        """Handle an authenticated envelope according to its kind."""
         envelope = self.sender.envelopes.open(datagram, sender)
         self.hooks.on_revision_seen(sender, envelope.revision)
         kind = envelope.kind
@@ -183,6 +185,10 @@
             raise UnknownKind
 
     def _handle_packet(self, envelope: Envelope, via: Address) -> None:
+        """Pass a caller's packet to its flow, or treat it as a new flow.
+
+        A packet that belongs to no flow and opens none gets a stateless reset.
+        """
         if not self.hooks.accepts_service(envelope.service):
             raise ForeignService
         header = parse_header(envelope.payload)
@@ -195,6 +201,7 @@
             self._send_stateless_reset(envelope, header.destination_id, via)
 
     def _handle_initial(self, envelope: Envelope, via: Address) -> None:
+        """Offer a new flow to admission, or negotiate the QUIC version."""
         initial = handshakes.parse_initial(
             envelope.payload,
             self.configuration,
@@ -221,6 +228,7 @@
         connection_id: bytes,
         via: Address,
     ) -> None:
+        """Send a stateless reset for a connection id of this agent."""
         if self.codec.read(connection_id) != self.owner:
             raise ForgedConnectionId
         token = self.codec.compute_reset_token(connection_id)
@@ -234,10 +242,12 @@
         connection: CallerConnection,
         connection_id: bytes,
     ) -> None:
+        """Index a connection by one of its connection ids."""
         connection.ids.add(connection_id)
         self.by_id[connection_id] = connection
 
     def _set_timer(self, connection: CallerConnection) -> None:
+        """Replace the timer of a connection by one that QUIC asks for."""
         if connection.timer is not None:
             connection.timer.cancel()
             connection.timer = None
@@ -250,6 +260,7 @@
             )
 
     def _handle_timer(self, connection: CallerConnection) -> None:
+        """Handle the expired timer of a connection and send what is due."""
         connection.timer = None
         connection.quic.handle_timer(self.loop.time())
         connection.process_events()
--- a/packages/keelgap-agent/src/keelgap_agent/quic/protocol.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/protocol.py
@@ -75,7 +75,7 @@
         self.consumed_by_stream.pop(stream_id, None)
 
     def count_unsent(self, stream_id: int) -> int:
-        """Return the octets of a stream that are not acknowledged."""
+        """Return the number of a stream's octets not yet acknowledged."""
         stream = self._streams.get(stream_id)
         if stream is None:
             return 0
@@ -88,6 +88,7 @@
         return self._handshake_complete
 
     def _assign_owned_id(self, host_id: QuicConnectionId) -> None:
+        """Give a connection id and its reset token the form of this agent."""
         host_id.cid = self.codec.issue(self.owner)
         host_id.stateless_reset_token = self.codec.compute_reset_token(
             host_id.cid,
@@ -95,6 +96,7 @@
         self.issued.append(host_id.cid)
 
     def _replenish_connection_ids(self) -> None:
+        """Add connection ids that encode this agent."""
         known = len(self._host_cids)
         super()._replenish_connection_ids()
         for host_id in self._host_cids[known:]:
@@ -105,6 +107,7 @@
         builder: QuicPacketBuilder,
         space: QuicPacketSpace,
     ) -> None:
+        """Raise the connection's data limit by the octets consumed so far."""
         # aioquic doubles the window depending on the octets received.  Hide
         # that count, so that only consumed octets raise the limit.
         limit = self._local_max_data
@@ -120,6 +123,7 @@
         space: QuicPacketSpace,
         stream: QuicStream,
     ) -> None:
+        """Raise a stream's data limit by the octets consumed so far."""
         consumed = self.consumed_by_stream.get(stream.stream_id or 0, 0)
         if stream.max_stream_data_local:
             granted = consumed + STREAM_WINDOW
--- a/packages/keelgap-agent/src/keelgap_agent/quic/return_path.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/return_path.py
@@ -18,7 +18,7 @@
 
 
 class ReturnPath:
-    """The balancers that this agent may use, and when each last sent."""
+    """The balancers that may carry answers, and when each last sent."""
 
     def __init__(self) -> None:
         """Start without balancers."""
@@ -77,4 +77,5 @@
                 table.pop(key)
 
     def _get_last_heard_at(self, balancer: Address) -> float:
+        """Return when a balancer last sent, or minus infinity if never."""
         return self.last_heard_at.get(balancer, float('-inf'))
--- a/packages/keelgap-agent/src/keelgap_agent/quic/streams.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/streams.py
@@ -151,6 +151,7 @@
         self.writable.set()
 
     def _answer(self, status: int, headers: HeaderPairs, body: bytes) -> None:
+        """Send a complete answer and close the stream."""
         self._send_headers(status, headers, ended=not body)
         if body:
             self.transport.http.send_data(self.stream_id, body, True)
@@ -163,6 +164,7 @@
         *,
         ended: bool,
     ) -> None:
+        """Send the status and the headers, unless the stream is closed."""
         if self.closed:
             return
         self.head_sent = True
@@ -171,6 +173,7 @@
         self.transport.transmit()
 
     def _close(self) -> None:
+        """Close the stream and stop the caller from sending more body."""
         self.closed = True
         if not self.body.ended:
             # The rest of the request is not needed (RFC 9114, 4.1).
@@ -181,6 +184,7 @@
         self.transport.transmit()
 
     def _reset(self, error: ErrorCode) -> None:
+        """Reset the stream in both directions with an error code."""
         quic = self.transport.quic
         quic.reset_stream(self.stream_id, error)
         if not self.body.ended:
@@ -190,11 +194,13 @@
         self.transport.transmit()
 
     def _record_consumed(self, count: int) -> None:
+        """Raise the caller's flow control limit by consumed octets."""
         if not self.closed:
             self.transport.quic.record_consumed(self.stream_id, count)
             self.transport.transmit()
 
     def _count_unsent(self) -> int:
+        """Return the number of the answer's octets not yet acknowledged."""
         return self.transport.quic.count_unsent(self.stream_id)
 
 
@@ -208,6 +214,10 @@
 
 
 def _make_upstream_headers(headers: HeaderPairs) -> HeaderPairs:
+    """Return the headers for the upstream, with a Host header.
+
+    Pseudo-headers and the deadline header are left out.
+    """
     authority = [
         (b'host', text) for name, text in headers if name == b':authority'
     ]
