--- a/packages/keelgap-agent/src/keelgap_agent/flows/admission.py
+++ b/packages/keelgap-agent/src/keelgap_agent/flows/admission.py
@@ -36,8 +36,9 @@
     """Accept, hand over or refuse a flow.
 
     The decision uses the agent's own state, since the balancer's view may be
-    outdated.  A handover is remembered by the caller's connection id, so that
-    later datagrams of the same handshake reach the same agent.
+    outdated.  A handover, which passes the flow on to another agent, is
+    remembered by the caller's connection id, so that later datagrams of the
+    same handshake reach the same agent.
     """
     if not accepts_service(state, event.service):
         return (Drop(ForeignService.code),)
@@ -56,6 +57,10 @@
 
 
 def _find_rejection_reason(state: AgentState, event: FlowOffered) -> str | None:
+    """Return the name of the counter for why a new flow does not fit here.
+
+    Returns None if this agent can accept the flow.
+    """
     if state.row is None or state.is_leaving:
         return 'flows_passed_on_leaving'
     if state.is_down(event.now):
@@ -68,6 +73,7 @@
 
 
 def _accept(event: FlowOffered) -> Effects:
+    """Accept a flow, or require address validation if many are opening."""
     needs_validation = event.handshakes >= defaults.HANDSHAKES_BEFORE_RETRY
     if needs_validation and not event.validated:
         return ChallengeFlow(), Count('flows_challenged')
@@ -75,6 +81,7 @@
 
 
 def _hand_over(state: AgentState, event: FlowOffered, reason: str) -> Effects:
+    """Pass a flow on to the next candidate and remember that agent."""
     turn = event.turn + 1
     agent = event.candidates[turn]
     expires_at = event.now + defaults.HANDOVER_TTL_SECONDS
@@ -126,7 +133,7 @@
 
 
 def expire_handovers(state: AgentState, now: float) -> None:
-    """Drop handovers whose handshake must have ended by now."""
+    """Forget the flows passed on whose handshake must have ended by now."""
     if state.handovers:
         state.handovers = {
             connection_id: handover_entry
--- a/packages/keelgap-agent/src/keelgap_agent/flows/flow_effects.py
+++ b/packages/keelgap-agent/src/keelgap_agent/flows/flow_effects.py
@@ -24,7 +24,7 @@
         return self.driver.ports.flows
 
     def take_flow(self, effect: effects.TakeFlow) -> None:
-        """Open a connection and feed it the first datagram."""
+        """Open the connection of a new flow and feed it the first datagram."""
         offer = self.offer
         flows = self.flows
         connection = flows.accept(offer, self.driver.connection_hooks)
@@ -33,7 +33,7 @@
         flows.feed(connection, offer.envelope, offer.via)
 
     def pass_flow(self, effect: effects.PassFlow) -> None:
-        """Forward the first datagram to the next candidate."""
+        """Forward the first datagram of a flow to the next candidate agent."""
         offer = self.offer
         handover = offer.envelope._replace(
             kind=MessageKind.HANDOVER,
