--- a/packages/keelgap-agent/src/keelgap_agent/drain.py
+++ b/packages/keelgap-agent/src/keelgap_agent/drain.py
@@ -30,7 +30,7 @@
 
 
 def handle_table_change(state: AgentState, event: TableChanged) -> Effects:
-    """Apply a table, unless it is not newer than the current one."""
+    """Apply the operators' table of services if it is newer."""
     if event.table.version <= state.table.version:
         return ()
     state.table = event.table
@@ -50,7 +50,7 @@
 def handle_instances_change(
     state: AgentState, event: InstancesChanged
 ) -> Effects:
-    """Apply an instance list, which may report this agent as leaving."""
+    """Apply a list of machines, which may report this agent as leaving."""
     if event.instances.revision <= state.instances.revision:
         return ()
     state.instances = event.instances
@@ -81,6 +81,7 @@
     applies: bool,
     now: float,
 ) -> Effects:
+    """Add or remove a reason to leave, and announce a drain that starts."""
     if applies:
         state.leave_reasons.add(reason)
     else:
@@ -89,6 +90,10 @@
 
 
 def _announce_leaving(state: AgentState, now: float) -> Effects:
+    """Send GOAWAY on all flows once, and pass queued requests on.
+
+    When no reason to leave remains, the next drain announces itself again.
+    """
     if not state.is_leaving:
         state.goaway_sent_at = None
         return ()
@@ -106,7 +111,10 @@
 
 
 def check_exit(state: AgentState, now: float) -> Effects:
-    """Exit once a stopping agent is idle and late retries had their time."""
+    """Let a stopping process exit once it is idle.
+
+    If the ledger holds outcomes, it stays some time longer for late retries.
+    """
     stopping = LeaveReason.SIGNAL in state.leave_reasons
     if not stopping or state.flows or state.requests:
         state.idle_since = None
--- a/packages/keelgap-agent/src/keelgap_agent/driver.py
+++ b/packages/keelgap-agent/src/keelgap_agent/driver.py
@@ -33,7 +33,7 @@
 
 
 def generate_request_ids(incarnation: int) -> Iterator[int]:
-    """Return request ids that no earlier incarnation has used.
+    """Return request ids that no earlier process of this agent has used.
 
     Peers refer to requests by id, and an answer to an earlier incarnation
     must not reach a caller of this one.
@@ -95,7 +95,7 @@
         )
 
     def handle_ask(self, asker: Address, ask: Ask) -> None:
-        """Start a request of a peer, unless it is in progress already."""
+        """Handle a request from a peer, unless it is in progress already."""
         asks = self.request_effects.peer_asks
         if (asker, ask.ask_id) in asks:
             return
@@ -117,7 +117,7 @@
         )
 
     def handle_answer(self, answer: Answer) -> None:
-        """Dispatch a peer's answer to an ask of this agent."""
+        """Dispatch a peer's answer to a request that was sent to it."""
         self.dispatch(
             events.PeerAnswered(
                 self.loop.time(),
@@ -135,6 +135,7 @@
             self.dispatch(events.UpstreamStateRead(now, draining))
 
     def _map_handlers(self) -> MappingProxyType[type, Callable[[Any], None]]:
+        """Return the method that carries out each type of effect."""
         flow = self.flow_effects
         request = self.request_effects
         return MappingProxyType({
@@ -157,6 +158,7 @@
         })
 
     def _handle_request(self, stream: CallerStream) -> None:
+        """Store a caller's request and dispatch its arrival."""
         self.request_effects.exchanges[stream.request_id] = stream
         self.dispatch(
             events.RequestArrived(
@@ -168,6 +170,7 @@
         )
 
     def _handle_cancelled(self, stream: CallerStream) -> None:
+        """Dispatch the cancellation of a request if it was submitted."""
         if stream.submitted:
             now = self.loop.time()
             self.dispatch(events.RequestCancelled(now, stream.request_id))
@@ -175,6 +178,7 @@
                 self.request_effects.exchanges.pop(stream.request_id, None)
 
     def _handle_closed(self, connection: CallerConnection) -> None:
+        """Forget a connection that ended and dispatch the end of its flow."""
         self.ports.flows.forget(connection)
         now = self.loop.time()
         self.dispatch(events.FlowClosed(now, connection.flow_id))
@@ -183,6 +187,7 @@
         self.ports.flows.transmit(connection)
 
     def _drop(self, effect: effects.Drop) -> None:
+        """Count a rejected datagram by its reason."""
         self.ports.metrics.drops.labels(effect.reason).inc()
 
     def _count(self, effect: effects.Count) -> None:
@@ -193,4 +198,5 @@
         histogram.labels(effect.traffic_class).observe(effect.seconds)
 
     def _exit(self, effect: effects.Exit) -> None:
+        """Set the event that lets the process exit."""
         self.exited.set()
--- a/packages/keelgap-agent/src/keelgap_agent/effects.py
+++ b/packages/keelgap-agent/src/keelgap_agent/effects.py
@@ -32,7 +32,7 @@
 
 
 class PassFlow(NamedTuple):
-    """Hand the offered flow over to the next candidate."""
+    """Hand the offered flow over to the next candidate agent."""
 
     agent: Address
     turn: int
@@ -85,7 +85,7 @@
 
 
 class IssueTicket(NamedTuple):
-    """Answer with a ticket."""
+    """Answer with a ticket for requests that run at most once."""
 
     request_id: int
     ticket: str
--- a/packages/keelgap-agent/src/keelgap_agent/events.py
+++ b/packages/keelgap-agent/src/keelgap_agent/events.py
@@ -35,7 +35,7 @@
 
 
 class FlowOffered(NamedTuple):
-    """The first datagram of a new flow arrived."""
+    """The first datagram of a new flow arrived, which may be accepted."""
 
     now: float
     #: Destination connection id that the caller chose.
--- a/packages/keelgap-agent/src/keelgap_agent/reducer.py
+++ b/packages/keelgap-agent/src/keelgap_agent/reducer.py
@@ -49,6 +49,7 @@
 
 
 def _handle_timer(state: AgentState, event: events.TimerFired) -> Effects:
+    """Remove expired state and run all periodic handlers."""
     expire_handovers(state, event.now)
     state.ledger.forget_expired(event.now)
     return tuple(
--- a/packages/keelgap-agent/src/keelgap_agent/server.py
+++ b/packages/keelgap-agent/src/keelgap_agent/server.py
@@ -133,6 +133,7 @@
         ]
 
     def _make_state(self) -> AgentState:
+        """Return the initial state of the agent."""
         instance = self.settings.instance
         listen = self.settings.listen
         identity = AgentIdentity(
@@ -149,6 +150,7 @@
         return state
 
     def _make_flows(self) -> FlowTable:
+        """Return an empty flow table, connected to the driver."""
         owner = FlowOwner(self.driver.state.identity.data, 0)
         sender = EnvelopeSender(
             self.keys.make_envelope_codec(self.incarnation, owner.agent),
@@ -170,12 +172,14 @@
         return flows
 
     def _get_revision(self) -> int:
+        """Return the revision of the table in force."""
         return self.driver.state.table.revision
 
     async def _open_session(
         self,
         stack: AsyncExitStack,
     ) -> aiohttp.ClientSession:
+        """Open the HTTP session for requests to the upstream."""
         # Each request gets a connection of its own.  A kept-alive connection
         # may close while a request that must not be repeated is sent on it, and
         # the agent could not tell whether that request ran.
@@ -194,6 +198,7 @@
         session: aiohttp.ClientSession,
         stack: AsyncExitStack,
     ) -> None:
+        """Start the timer and the polling of the upstream's state."""
         timer = asyncio.create_task(self.driver.run_timer())
         stack.callback(timer.cancel)
         upstream = self.settings.upstream
@@ -228,10 +233,12 @@
         self.metrics.ledger.set(len(state.ledger.entries))
 
     def _record_revision(self, sender: Address, revision: int) -> None:
+        """Report the sender of a later table revision to the dissemination."""
         if revision > self._get_revision():
             self.plane.dissemination.handle_revision(sender, revision)
 
     def _handle_change(self, parsed: ParsedDocument) -> None:
+        """Apply a new table or instance list."""
         now = self.loop.time()
         if isinstance(parsed, Table):
             self.driver.dispatch(TableChanged(now, parsed))
@@ -244,6 +251,7 @@
             self.flows.return_path.record_listed(balancers)
 
     def _handle_message(self, delivery: Delivery) -> None:
+        """Pass an ask or an answer of another agent to the driver."""
         message = delivery.message
         if isinstance(message, Ask):
             self.driver.handle_ask(delivery.sender, message)
--- a/packages/keelgap-agent/src/keelgap_agent/state.py
+++ b/packages/keelgap-agent/src/keelgap_agent/state.py
@@ -29,7 +29,7 @@
 
 
 class AgentIdentity(NamedTuple):
-    """Identity of an agent, constant for one incarnation."""
+    """Identity of an agent, constant as long as its process runs."""
 
     data: Address
     control: Address
@@ -173,7 +173,10 @@
         return bool(self.leave_reasons)
 
     def count_slots(self, now: float) -> int:
-        """Return the number of slots, which grows during a cold start."""
+        """Return the number of slots, each for one running request.
+
+        The number grows during a cold start.
+        """
         if self.row is None:
             return 0
         age = now - self.identity.started_at
