--- a/packages/keelgap/src/keelgap/wire/encapsulation.py
+++ b/packages/keelgap/src/keelgap/wire/encapsulation.py
@@ -218,6 +218,7 @@
         datagram: bytes,
         body: bytes,
     ) -> None:
+        """Check the authentication code of a datagram, or raise WrongMac."""
         nonce = _NONCE_PREFIX + body[_SEQUENCE_OFFSET:_REVISION_OFFSET]
         try:
             opener.cipher.decrypt(nonce, datagram[-_MAC_LENGTH:], body)
@@ -230,12 +231,14 @@
         opener: _Opener,
         sequence: int,
     ) -> None:
+        """Record the sequence number, or raise ReplayedDatagram."""
         if not opener.window.accept(opener.key_parameters[1], sequence):
             raise ReplayedDatagram
         # Only an authenticated datagram may change the state of a sender.
         self.openers[sender] = opener
 
     def _make_sealer(self, receiver: tuple[str, int]) -> _Sealer:
+        """Create and store the cipher for messages to a receiver."""
         cipher = self._derive_cipher(
             self.signing_key_id,
             self.address,
@@ -252,6 +255,10 @@
         key_id: int,
         incarnation: int,
     ) -> _Opener:
+        """Return the cipher for messages of one incarnation of a sender.
+
+        The sender's replay window is kept if there is one.
+        """
         cipher = self._derive_cipher(key_id, sender, self.address, incarnation)
         previous = self.openers.get(sender)
         window = previous.window if previous else ReplayWindow(incarnation)
@@ -264,6 +271,10 @@
         receiver: tuple[str, int],
         incarnation: int,
     ) -> AESGCM:
+        """Return a cipher for one direction between two processes.
+
+        Its key is derived from a live key; raises UnknownKey if there is none.
+        """
         key = self.keys.get(key_id)
         if key is None:
             raise UnknownKey
@@ -283,6 +294,7 @@
 
 
 def _check_size_and_version(datagram: bytes) -> None:
+    """Raise a WireError if a datagram has a wrong length or version."""
     if len(datagram) < OVERHEAD:
         raise TruncatedDatagram
     if len(datagram) > MAX_DATAGRAM_LENGTH:
@@ -296,6 +308,7 @@
     fields: list[Any],
     payload: bytes,
 ) -> Envelope:
+    """Return the envelope of the unpacked header fields and the payload."""
     revision, service, count, turn, *fields = fields
     caller, via, packed_candidates = fields
     return Envelope(
@@ -311,11 +324,13 @@
 
 
 def _pack_candidates(candidates: tuple[Address, ...]) -> bytes:
+    """Return the addresses of candidate agents, padded to a fixed length."""
     packed = b''.join(map(pack_address, candidates))
     return packed.ljust(MAX_CANDIDATES * PACKED_ADDRESS_LENGTH, b'\0')
 
 
 def _unpack_candidates(packed: bytes, count: int) -> tuple[Address, ...]:
+    """Return the given number of candidate addresses, up to the maximum."""
     return tuple(
         unpack_address(packed[start : start + PACKED_ADDRESS_LENGTH])
         for start in range(
--- a/packages/keelgap/src/keelgap/wire/exceptions.py
+++ b/packages/keelgap/src/keelgap/wire/exceptions.py
@@ -86,7 +86,7 @@
 
 
 class UnknownOwner(WireError):
-    """The agent address in the connection id was never published."""
+    """The agent in the connection id is not published, nor was recently."""
 
     code = 'unknown_owner'
 
--- a/packages/keelgap/src/keelgap/wire/packets.py
+++ b/packages/keelgap/src/keelgap/wire/packets.py
@@ -55,6 +55,7 @@
 
 
 def _may_open_flow(datagram: bytes, first: int) -> bool:
+    """Return whether a long-header packet may be the first of a flow."""
     if len(datagram) < _MIN_INITIAL_LENGTH:
         return False
     version = datagram[_VERSION_OFFSET:_ID_LENGTH_OFFSET]
--- a/packages/keelgap/src/keelgap/wire/replay.py
+++ b/packages/keelgap/src/keelgap/wire/replay.py
@@ -41,6 +41,10 @@
         return self._accept_late(-ahead)
 
     def _accept_late(self, behind: int) -> bool:
+        """Record a number that is this far behind the highest one.
+
+        Returns False if it was seen before or is too old for the window.
+        """
         if behind >= REPLAY_WINDOW_SIZE:
             return False
         bit = 1 << behind
