--- a/packages/keelgap/src/keelgap/table/checks.py
+++ b/packages/keelgap/src/keelgap/table/checks.py
@@ -27,18 +27,24 @@
 
 
 class _Section(NamedTuple):
+    """A section of the table document and the type of its rows."""
+
     name: str
     row_type: type[object]
     required: bool = True
 
 
 class _Range(NamedTuple):
+    """The lowest and highest number that a column may hold."""
+
     column: str
     lowest: float
     highest: float
 
 
 class _Unique(NamedTuple):
+    """A column whose values must differ in all rows of a section."""
+
     section: str
     column: str
 
@@ -69,6 +75,7 @@
 
 
 def _is_never_checked(row: object) -> bool:
+    """Return False for every row, so that each is checked."""
     return False
 
 
@@ -101,6 +108,7 @@
 
 
 def _check_revision(revision: object) -> Iterator[Fault]:
+    """Yield a fault if the revision is not a whole number in its range."""
     if isinstance(revision, int) and not isinstance(revision, bool):
         yield from check_range('revision', revision, 1, _MAX_REVISION)
         return
@@ -117,6 +125,7 @@
     section: _Section,
     is_checked: Callable[[object], bool],
 ) -> Iterator[Fault]:
+    """Yield the faults of a section's rows that were not checked before."""
     rows = document.get(section.name)
     if rows is None and not section.required:
         return
@@ -139,6 +148,7 @@
 
 
 def _check_ranges(row: dict[str, Any], subject: str) -> Iterator[Fault]:
+    """Yield a fault for each number of a row outside its range."""
     for column, lowest, highest in _RANGES:
         number = row.get(column)
         if number is not None:
@@ -154,6 +164,7 @@
     document: dict[str, Any],
     is_checked: Callable[[object], bool],
 ) -> Iterator[Fault]:
+    """Yield the faults between rows, and those of the agents' addresses."""
     for unique in _UNIQUE:
         yield from _check_unique(document[unique.section], unique)
     names = {row['name'] for row in document['services']}
@@ -166,6 +177,7 @@
     rows: list[dict[str, Any]],
     unique: _Unique,
 ) -> Iterator[Fault]:
+    """Yield a fault for each value used twice in a unique column."""
     # The common case of no duplicates takes a tenth of the time of the search
     # for the duplicate rows.
     if len(set(map(itemgetter(unique.column), rows))) == len(rows):
@@ -187,6 +199,7 @@
     document: dict[str, Any],
     names: set[str],
 ) -> Iterator[Fault]:
+    """Yield a fault for each row that names an unknown service."""
     choices = ', '.join(sorted(names))
     for section in ('classes', _UPSTREAMS):
         for index, row in enumerate(document.get(section) or ()):
@@ -203,6 +216,7 @@
     rows: Iterable[dict[str, Any]],
     is_checked: Callable[[object], bool],
 ) -> Iterator[Fault]:
+    """Yield a fault for each upstream whose agent address is invalid."""
     for index, row in enumerate(rows):
         if is_checked(row):
             continue
@@ -221,6 +235,7 @@
     rows: list[dict[str, Any]],
     names: set[str],
 ) -> Iterator[Fault]:
+    """Yield a fault for each service whose upstreams are all out of use."""
     used = {row['service'] for row in rows}
     active = {
         row['service']
--- a/packages/keelgap/src/keelgap/table/loader.py
+++ b/packages/keelgap/src/keelgap/table/loader.py
@@ -31,14 +31,14 @@
 
 
 def compute_digest(document: bytes) -> str:
-    """Return the digest that identifies a document."""
+    """Return the digest of a document's content as hexadecimal text."""
     return blake2b(document, digest_size=_DIGEST_LENGTH).hexdigest()
 
 
 def load_table(document: bytes) -> Table:
-    """Return the table held in one value of the configuration service.
+    """Return the table of a JSON document that fits into one value.
 
-    Raises TableRefused with every fault found.
+    A longer document is refused.  Raises TableRefused with every fault found.
     """
     if len(document) > MAX_DOCUMENT_LENGTH:
         raise TableRefused((
@@ -125,6 +125,7 @@
         }
 
     def _remember(self, decoded: dict[str, Any], table: Table) -> None:
+        """Keep an accepted document, whose rows need no further check."""
         sections = ('services', 'classes', _UPSTREAMS)
         self.accepted_document = decoded
         self.table = table
@@ -139,6 +140,7 @@
     before: tuple[Upstream, ...],
     after: tuple[Upstream, ...],
 ) -> tuple[Upstream, ...]:
+    """Return the earlier upstreams if they equal the later ones."""
     # Returning the previous object lets users detect by identity that nothing
     # changed.
     if before == after:
@@ -147,6 +149,7 @@
 
 
 def _decode(document: bytes) -> Any:
+    """Decode a JSON document, or raise TableRefused."""
     try:
         return msgspec.json.decode(document)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
@@ -161,6 +164,7 @@
 
 
 def _make_services(decoded: dict[str, Any]) -> list[Service]:
+    """Return the services of a document with their traffic classes."""
     classes: dict[str, list[TrafficClass]] = {}
     for row in decoded.get('classes') or ():
         columns = dict(row)
--- a/packages/keelgap/src/keelgap/table/parts.py
+++ b/packages/keelgap/src/keelgap/table/parts.py
@@ -34,13 +34,15 @@
 
 
 class Part(TypedDict):
-    """The key of a part and the digest of its content."""
+    """The key of one part of a split table and the digest of its content."""
 
     key: str
     digest: str
 
 
 class _Manifest(TypedDict):
+    """A document that lists the parts of a table too long for one value."""
+
     revision: int
     parts: NotRequired[list[Part]]
 
