--- a/packages/keelgap-agent/src/keelgap_agent/quic/protocol.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/protocol.py
@@ -88,7 +88,7 @@
         return self._handshake_complete
 
     def _assign_owned_id(self, host_id: QuicConnectionId) -> None:
-        """Give a connection id and its reset token the form of this agent."""
+        """Replace a connection id by one that encodes this agent."""
         host_id.cid = self.codec.issue(self.owner)
         host_id.stateless_reset_token = self.codec.compute_reset_token(
             host_id.cid,
