--- a/packages/keelgap/src/keelgap/dissemination/acceptance.py
+++ b/packages/keelgap/src/keelgap/dissemination/acceptance.py
@@ -50,7 +50,7 @@
 def handle_document_read(
     state: DisseminationState, event: DocumentRead
 ) -> Effects:
-    """Handle a document that the configuration service returned."""
+    """Accept or refuse a document that the configuration service returned."""
     try:
         document = load_document(event.content)
     except UnusableDocument as error:
@@ -86,6 +86,7 @@
     document: Document,
     faults: tuple[Fault, ...],
 ) -> Effects:
+    """Record the latest refused document with its faults and report it."""
     held.refused = RefusedDocument(document.version, event.now, faults)
     return (ReportRefusal(event.key, held.refused),)
 
--- a/packages/keelgap/src/keelgap/dissemination/document_reader.py
+++ b/packages/keelgap/src/keelgap/dissemination/document_reader.py
@@ -32,6 +32,8 @@
 
 
 class _Value(NamedTuple):
+    """A value of the configuration service and the index to watch it from."""
+
     content: bytes
     #: Index of the value, from the index header.
     store_index: int
@@ -79,6 +81,10 @@
                 failures = 0
 
     async def _read(self, key: str, index: int) -> int:
+        """Wait for a value that changed since an index and report it.
+
+        Returns the index of the value.
+        """
         wait = self.settings.wait_seconds
         value = await self._get(key, index, wait)
         if value.store_index != index:
@@ -97,6 +103,7 @@
         return join_parts(content, values)
 
     async def _get(self, key: str, index: int, wait: float) -> _Value:
+        """Return the value of a key, once it changed or the wait is over."""
         base = self.settings.url.rstrip('/')
         async with self.session.get(
             f'{base}/v1/kv/{key}',
@@ -108,6 +115,7 @@
             return _Value(content, int(response.headers[INDEX_HEADER]))
 
     def _compute_backoff(self, failures: int) -> float:
+        """Return a random pause that grows with the failures, in seconds."""
         backoff = _BACKOFF_BASE_SECONDS * 2 ** min(
             failures, _MAX_BACKOFF_EXPONENT
         )
--- a/packages/keelgap/src/keelgap/dissemination/documents.py
+++ b/packages/keelgap/src/keelgap/dissemination/documents.py
@@ -44,6 +44,8 @@
 
 
 class _Changes(TypedDict):
+    """The changes between two documents, as they are encoded in a delta."""
+
     #: New values of all keys other than named sections; None removes a key.
     plain: dict[str, Any]
     #: New and changed rows, by section.
@@ -66,6 +68,7 @@
 
 
 def _canonicalize(decoded: dict[str, Any]) -> Document:
+    """Return a document with sorted keys and rows, and with its version."""
     for section in _NAMED_SECTIONS:
         rows: Any = decoded.get(section)
         if _is_named(rows):
@@ -79,6 +82,7 @@
 
 
 def _is_named(rows: object) -> bool:
+    """Return whether all rows of a section have a name."""
     return isinstance(rows, list) and all(
         isinstance(row, dict) and isinstance(row.get(_NAME), str)
         for row in rows
@@ -111,6 +115,7 @@
     old: list[dict[str, Any]],
     new: list[dict[str, Any]],
 ) -> None:
+    """Add the new, changed and removed rows of a section to the changes."""
     before = {_get_name(row): row for row in old}
     after = {_get_name(row): row for row in new}
     rows = [row for name, row in after.items() if before.get(name) != row]
@@ -142,6 +147,7 @@
     gone: Sequence[str],
     changed: Sequence[dict[str, Any]],
 ) -> list[dict[str, Any]]:
+    """Return the rows of a section after removals and replacements."""
     rows = {_get_name(row): row for row in before or ()}
     for name in gone:
         rows.pop(name, None)
--- a/packages/keelgap/src/keelgap/dissemination/driver.py
+++ b/packages/keelgap/src/keelgap/dissemination/driver.py
@@ -47,6 +47,7 @@
     loader = TableLoader()
 
     def parse_table(document: Document) -> Table:
+        """Return the table of a document, or raise TableRefused."""
         return loader.load(document.decoded, document.version.digest)
 
     return parse_table
@@ -57,6 +58,7 @@
     loader = InstanceLoader()
 
     def parse_instances(document: Document) -> InstanceList:
+        """Return the instance list of a document, or raise TableRefused."""
         return loader.load(document.decoded)
 
     return parse_instances
@@ -132,6 +134,7 @@
             await asyncio.sleep(defaults.TIMER_SECONDS)
 
     def _dispatch(self, event: DisseminationEvent) -> None:
+        """Apply an event to the state and carry out its effects."""
         state, emitted = reduce(self.state, event)
         self.state = state
         for effect in emitted:
@@ -150,6 +153,7 @@
         ).info('document_in_force')
 
     def _report_refusal(self, effect: ReportRefusal) -> None:
+        """Count and log a refused document with its faults."""
         refused = effect.refused
         self.metrics.events.labels('refused_documents').inc()
         logger.bind(
@@ -163,6 +167,7 @@
         self.channel.send(effect.receiver, effect.message)
 
     def _update_watches(self, effect: Read) -> None:
+        """Start or stop watching documents at the configuration service."""
         self._stop_watches()
         if effect.wanted:
             self.watches = [
--- a/packages/keelgap/src/keelgap/dissemination/effects.py
+++ b/packages/keelgap/src/keelgap/dissemination/effects.py
@@ -18,7 +18,7 @@
 
 
 class PutInForce(NamedTuple):
-    """Put a later version of a document in force."""
+    """Make a later version of a document the one that the process uses."""
 
     key: str
     document: Document
--- a/packages/keelgap/src/keelgap/dissemination/neighbours.py
+++ b/packages/keelgap/src/keelgap/dissemination/neighbours.py
@@ -16,6 +16,7 @@
     instances: Iterable[Instance],
     count: int,
 ) -> list[Address]:
+    """Return the control addresses ranked highest for a key, best first."""
     members = (
         (
             WeightedSeed(int.from_bytes(pack_address(instance.control)), 1),
--- a/packages/keelgap/src/keelgap/dissemination/reducer.py
+++ b/packages/keelgap/src/keelgap/dissemination/reducer.py
@@ -56,6 +56,7 @@
     state: DisseminationState,
     event: MessageReceived,
 ) -> Effects:
+    """Handle a message according to its type and record its arrival."""
     state.last_message_at = event.now
     handler = _MESSAGE_HANDLERS[type(event.message)]
     return handler(state, event, event.message)
@@ -66,6 +67,7 @@
     event: MessageReceived,
     message: Announce,
 ) -> Effects:
+    """Fetch versions that a neighbour announced, and offer it later ones."""
     effects: list[DisseminationEffect] = []
     for key, held in state.held.items():
         peer_version = message.versions.get(key)
@@ -108,6 +110,7 @@
     peer: Address,
     now: float,
 ) -> Effects:
+    """Request a document from a peer, unless one was requested just before."""
     held = state.held[key]
     if now - held.last_fetch_at < defaults.FETCH_RETRY_SECONDS:
         return ()
@@ -120,6 +123,7 @@
     event: MessageReceived,
     message: Fetch,
 ) -> Effects:
+    """Send the deltas since the peer's version, or else the document."""
     held = state.held.get(message.key)
     if held is None or held.document.version <= message.have:
         return ()
@@ -134,6 +138,10 @@
     history: tuple[DocumentDelta, ...],
     have: DocumentVersion,
 ) -> tuple[DocumentDelta, ...]:
+    """Return the deltas that lead from a version to the latest one.
+
+    Returns none if the history does not reach back to that version.
+    """
     for index, delta in enumerate(history):
         if delta.base == have:
             return history[index:]
@@ -145,6 +153,7 @@
     event: MessageReceived,
     message: FullDocument,
 ) -> Effects:
+    """Accept or refuse a complete document from a neighbour."""
     if message.key not in state.held:
         return (Count('unknown_key'),)
     state.held[message.key].last_fetch_at = float('-inf')
@@ -160,6 +169,10 @@
     event: MessageReceived,
     message: DocumentDelta,
 ) -> Effects:
+    """Apply a delta to the held document and accept or refuse the result.
+
+    If the delta starts from another version, the document is fetched.
+    """
     held = state.held.get(message.key)
     if held is None:
         return (Count('unknown_key'),)
@@ -199,6 +212,7 @@
 
 
 def _handle_timer(state: DisseminationState, event: TimerFired) -> Effects:
+    """Run all periodic work of the dissemination."""
     return (
         *_update_reading(state, event.now),
         *_retry_fetches(state, event.now),
@@ -208,6 +222,11 @@
 
 
 def _update_reading(state: DisseminationState, now: float) -> Effects:
+    """Start or stop reading the configuration service.
+
+    An elected reader reads it, and so does a process that is joining or that
+    has long received no message.
+    """
     last_message_at = state.last_message_at
     reference = state.started_at if last_message_at is None else last_message_at
     is_isolated = now - reference >= defaults.PEER_TIMEOUT_SECONDS
@@ -220,6 +239,7 @@
 
 
 def _exchange_versions(state: DisseminationState, now: float) -> Effects:
+    """Announce the held versions to a random neighbour at intervals."""
     if now < state.next_exchange_at or not state.neighbours:
         return ()
     spread = state.random.uniform(*defaults.ANTI_ENTROPY_SPREAD)
@@ -242,7 +262,11 @@
 
 
 def _complete_joining(state: DisseminationState, now: float) -> Effects:
-    """Complete joining once the highest announced versions are held."""
+    """Complete joining once the highest announced versions are held.
+
+    A joining process puts no document in force before that, unless the join
+    timeout has passed.
+    """
     table_key = state.identity.document_keys.table
     if state.joined or not state.held[table_key].document.content:
         return ()
