--- a/packages/keelgap/src/keelgap/control/channel.py
+++ b/packages/keelgap/src/keelgap/control/channel.py
@@ -99,6 +99,10 @@
             self.on_drop('control_send_failed')
 
     def _get_dealer(self, receiver: Address) -> zmq.Socket[bytes]:
+        """Return the socket that sends to a receiver, connecting it if needed.
+
+        If too many are open, the least recently used one is closed.
+        """
         dealer = self.dealers.pop(receiver, None)
         if dealer is None:
             dealer = self.sender_context.socket(zmq.DEALER)
@@ -118,6 +122,7 @@
             dealer.close(linger=0)
 
     def _configure(self, sock: zmq.Socket[Any]) -> None:
+        """Set the keys and the limits of a socket."""
         sock.curve_publickey = self.keys.curve_public
         sock.curve_secretkey = self.keys.curve_secret
         sock.linger = 0
@@ -126,6 +131,7 @@
         sock.maxmsgsize = _MAX_FRAME_LENGTH
 
     async def _read(self, router: zmq_asyncio.Socket) -> None:
+        """Pass received messages on and count those that cannot be decoded."""
         while True:
             _peer, *frames = await router.recv_multipart()
             try:
--- a/packages/keelgap/src/keelgap/control/messages.py
+++ b/packages/keelgap/src/keelgap/control/messages.py
@@ -127,7 +127,7 @@
 
 
 def encode_message(sender: Address, message: ControlMessage) -> list[bytes]:
-    """Encode a message as frames."""
+    """Encode a message as the frames of a ZeroMQ message."""
     header = _HEADER.pack(VERSION_MAJOR, VERSION_MINOR, pack_address(sender))
     return [header, _encoder.encode(message)]
 
