--- a/packages/keelgap/src/keelgap/routing/connection_ids.py
+++ b/packages/keelgap/src/keelgap/routing/connection_ids.py
@@ -47,16 +47,20 @@
 
 @lru_cache(maxsize=_CACHE_SIZE)
 def _unpack_owner(packed: bytes) -> FlowOwner:
+    """Return the owner that the decrypted octets of a connection id encode."""
     agent, service = _OWNER.unpack(packed)
     return FlowOwner(unpack_address(agent), service)
 
 
 class _KeyContexts(NamedTuple):
+    """The cipher contexts of one key, which are reused."""
+
     encryptor: CipherContext
     decryptor: CipherContext
 
 
 def _make_contexts(key: bytes) -> _KeyContexts:
+    """Return the contexts that encrypt and decrypt with a key."""
     # Each message is one block that contains a random nonce, so ECB is
     # equivalent to the single-pass encryption of QUIC-LB.
     cipher = Cipher(algorithms.AES(key), modes.ECB())  # noqa: S305
