--- a/packages/keelgap/src/keelgap/admin.py
+++ b/packages/keelgap/src/keelgap/admin.py
@@ -84,7 +84,10 @@
     state: DisseminationState,
     now: float,
 ) -> StatusReport:
-    """Return the status without rows; its size is independent of the table."""
+    """Return the status of this process without table rows.
+
+    Its size is independent of the table.
+    """
     document_keys = state.identity.document_keys
     return StatusReport(
         name=name,
@@ -96,6 +99,7 @@
 
 
 def _describe(held: HeldDocument, now: float) -> DocumentReport:
+    """Return the report of the document that is held under one key."""
     version = held.document.version
     return DocumentReport(
         revision=version.revision,
@@ -107,6 +111,7 @@
 
 
 def _describe_refused(held: HeldDocument, now: float) -> RefusedReport | None:
+    """Return the report of the latest refused version, or None."""
     refused = held.refused
     if refused is None:
         return None
@@ -119,6 +124,8 @@
 
 
 def _make_json_handler(page: AdminPage) -> Callable[[web.Request], Any]:
+    """Return a handler that responds with a page as JSON."""
+
     async def respond(request: web.Request) -> web.Response:
         body = msgspec.json.encode(page())
         return web.Response(body=body, content_type='application/json')
@@ -130,6 +137,8 @@
     metrics: SharedMetrics,
     refresh: Callable[[], None],
 ) -> Callable[[web.Request], Any]:
+    """Return a handler that refreshes the metrics and responds with them."""
+
     async def respond(request: web.Request) -> web.Response:
         refresh()
         body = generate_latest(metrics.registry)
@@ -142,6 +151,8 @@
 def _make_health_handler(
     is_leaving: Callable[[], bool],
 ) -> Callable[[web.Request], Any]:
+    """Return a handler of health checks, which fail while leaving."""
+
     async def respond(request: web.Request) -> web.Response:
         if is_leaving():
             return web.Response(status=_SERVICE_UNAVAILABLE, text='leaving\n')
--- a/packages/keelgap/src/keelgap/admin_client.py
+++ b/packages/keelgap/src/keelgap/admin_client.py
@@ -49,6 +49,7 @@
 
 
 async def _fetch_or_fail(address: str, path: str) -> PageResult:
+    """Return the page of an address, or the error instead."""
     try:
         return PageResult(address, await fetch_page(address, path))
     except Unreachable as error:
--- a/packages/keelgap/src/keelgap/checks.py
+++ b/packages/keelgap/src/keelgap/checks.py
@@ -40,6 +40,8 @@
 
 
 class _Column(NamedTuple):
+    """The name, the type and the necessity of a column."""
+
     name: str
     hint: object
     required: bool
@@ -58,6 +60,7 @@
 
 
 def _describe_type(hint: object) -> str:
+    """Return a description of a column's type for hints."""
     if get_origin(hint) is Literal:
         choices = ', '.join(map(str, get_args(hint)))
         return f'one of {choices}'
@@ -103,6 +106,7 @@
     *,
     strict: bool,
 ) -> Iterator[Fault]:
+    """Yield a fault if a column of a row is missing or has a wrong type."""
     hint = f'give {_describe_type(column.hint)}'
     location = f'{subject}.{column.name}'
     if column.name not in row:
--- a/packages/keelgap/src/keelgap/conf.py
+++ b/packages/keelgap/src/keelgap/conf.py
@@ -146,6 +146,7 @@
 
 
 def _read_file(path: str) -> configparser.ConfigParser:
+    """Return a parsed settings file, or raise ImproperlyConfigured."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         with open(path, encoding='utf-8') as settings_file:
@@ -167,6 +168,7 @@
     name: str,
     section_type: Callable[..., NamedTuple],
 ) -> NamedTuple:
+    """Return a section's settings, or raise _NeedsFullCheck if in doubt."""
     row = parser[name] if parser.has_section(name) else {}
     hints = section_type.__annotations__
     optional: dict[str, Any] = getattr(section_type, '_field_defaults', {})
@@ -189,18 +191,21 @@
 
 
 def _find_conversion(hint: object) -> Callable[[str], Any] | None:
+    """Return the function that converts text to a type, or None."""
     if isinstance(hint, type) and issubclass(hint, Enum):
         return hint
     return _CONVERSIONS.get(hint)
 
 
 def _convert_int(text: str) -> int:
+    """Convert decimal digits to an integer, or raise ValueError."""
     if not text.lstrip('-').isdecimal():
         raise ValueError(text)
     return int(text)
 
 
 def _convert_float(text: str) -> float:
+    """Convert decimal text to a number, or raise ValueError."""
     if set(text) - _FLOAT_CHARACTERS:
         raise ValueError(text)
     return float(text)
--- a/packages/keelgap/src/keelgap/control_plane.py
+++ b/packages/keelgap/src/keelgap/control_plane.py
@@ -56,7 +56,10 @@
 
 
 def make_incarnation() -> int:
-    """Return the start time of the process, in milliseconds since the epoch."""
+    """Return a number that tells this run of the process from earlier ones.
+
+    It is the start time in milliseconds since the epoch.
+    """
     return time.time_ns() // _NANOSECONDS_PER_MILLISECOND
 
 
@@ -76,6 +79,7 @@
     control = Address(address, settings.listen.control_port)
 
     def deliver(delivery: Delivery) -> None:
+        """Deliver a message to the dissemination or to another part."""
         if not driver.handle_delivery(delivery):
             on_other_message(delivery)
 
@@ -97,6 +101,7 @@
     metrics: SharedMetrics,
     on_change: Callable[[ParsedDocument], None],
 ) -> DisseminationDriver:
+    """Return the dissemination driver with a reader of its documents."""
     random = Random()  # noqa: S311
     identity = DisseminationIdentity(
         channel.address,
@@ -127,6 +132,7 @@
 
 
 def _parse_seeds(text: str, own: Address) -> tuple[Address, ...]:
+    """Return the addresses of the seeds, except that of this process."""
     parts = [part.strip() for part in text.split(',') if part.strip()]
     try:
         seeds = tuple(parse_address(part) for part in parts)
--- a/packages/keelgap/src/keelgap/instances.py
+++ b/packages/keelgap/src/keelgap/instances.py
@@ -21,6 +21,8 @@
 
 
 class _InstanceRow(TypedDict):
+    """Columns of a row of the instance document."""
+
     name: str
     role: Role
     address: str
@@ -31,6 +33,8 @@
 
 
 class _InstanceDocument(TypedDict):
+    """The document that lists the instances of the fleet."""
+
     revision: int
     #: _InstanceRow objects, each validated when it is first loaded.
     instances: list[Any]
@@ -71,7 +75,7 @@
 
 
 class InstanceLoader:
-    """Convert successive versions of the list to InstanceLists.
+    """Convert successive versions of the instance document to InstanceLists.
 
     As in TableLoader, rows that are the same objects as in the previous
     version are not converted again.
@@ -110,6 +114,7 @@
 
 
 def _make_instance(raw: object) -> Instance:
+    """Return the instance of a row, or raise an error if it is invalid."""
     row = msgspec.convert(raw, _InstanceRow)
     return Instance(
         row['name'],
--- a/packages/keelgap/src/keelgap/keys.py
+++ b/packages/keelgap/src/keelgap/keys.py
@@ -125,6 +125,7 @@
 
 
 def _check_key_ids(keys: FleetKeys) -> list[Fault]:
+    """Return a fault for each selected key id that has no key."""
     selected = (
         ('keys.connection_ids_issue', keys.connection_ids_issue),
         ('keys.mac_sign', keys.mac_sign),
--- a/packages/keelgap/src/keelgap/logs.py
+++ b/packages/keelgap/src/keelgap/logs.py
@@ -26,6 +26,7 @@
 
 
 def _write_line(message: 'Message') -> None:
+    """Write one log record as a line of JSON."""
     record = message.record
     line: dict[str, Any] = {
         'time': record['time'].isoformat(timespec='milliseconds'),
--- a/packages/keelgap/src/keelgap/process.py
+++ b/packages/keelgap/src/keelgap/process.py
@@ -57,6 +57,7 @@
 
 
 async def _run(make_server: Callable[[], Server]) -> None:
+    """Run a server until a signal arrives, then drain it."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
--- a/packages/keelgap/src/keelgap/sockets.py
+++ b/packages/keelgap/src/keelgap/sockets.py
@@ -41,6 +41,7 @@
     receive = sock.recvfrom
 
     def read_batch() -> None:
+        """Read datagrams until none is left or the batch is full."""
         # An empty socket ends the batch, and so does the error of an earlier
         # send that was refused.
         with suppress(OSError):
