--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/check.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/check.py
@@ -44,5 +44,6 @@
 
 
 def _exit_with_error(problem: str) -> None:
+    """Print a problem and exit with the status for faults."""
     print(problem, file=sys.stderr)  # noqa: WPS421
     sys.exit(EXIT_FAULTS)
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/example.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/example.py
@@ -38,6 +38,7 @@
 
 
 def _read_example(name: str) -> str:
+    """Return the text of an example file of this package."""
     return files('keelgap_balancer').joinpath('examples', name).read_text()
 
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/run.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/run.py
@@ -12,7 +12,7 @@
 
 
 def run(path: str) -> int:
-    """Run until SIGTERM; return the exit status."""
+    """Run a balancer until SIGTERM; return the exit status."""
     try:
         settings = load_settings(path, BalancerSettings)
     except KeelgapError as error:
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/show.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/show.py
@@ -41,6 +41,7 @@
 
 
 def _read_or_exit(address: str, path: str) -> Any:
+    """Return the decoded page of an address, or print the error and exit."""
     try:
         return asyncio.run(fetch_page(address, path))
     except Unreachable as error:
@@ -53,11 +54,13 @@
 
 
 def _print_json(document: Any) -> None:
+    """Print a document as indented JSON."""
     encoded = msgspec.json.encode(document)
     _print(msgspec.json.format(encoded, indent=_INDENT).decode())
 
 
 def _print_document_status(key: str, report: dict[str, Any]) -> None:
+    """Print the version in force of a document and its latest refusal."""
     age = report['in_force_seconds']
     since = 'nothing in force' if age is None else f'for {age:.1f} s'
     _print(f'{key}: revision {report["revision"]} {report["digest"]} {since}')
@@ -69,6 +72,7 @@
 
 
 def _show_rows(rows: list[dict[str, Any]], *, as_json: bool) -> None:
+    """Print rows as a table or as JSON."""
     if as_json:
         _print_json(rows)
     else:
@@ -76,6 +80,7 @@
 
 
 def _print_rows(rows: list[dict[str, Any]]) -> None:
+    """Print rows as aligned columns below a header."""
     if not rows:
         _print('(none)')
         return
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/split.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/split.py
@@ -12,7 +12,7 @@
 
 
 def split(path: str, directory: str, prefix: str) -> int:
-    """Write the parts and the manifest; return the exit status."""
+    """Write the parts and the manifest of a table; return the exit status."""
     target = Path(directory)
     try:
         content = Path(path).read_bytes()
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/status.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/status.py
@@ -14,6 +14,8 @@
 
 
 class _Line(TypedDict):
+    """One line of the output, for one process."""
+
     address: str
     name: str
     revision: int | None
@@ -35,6 +37,7 @@
 
 
 def _compare_versions(readings: list[PageResult]) -> list[_Line]:
+    """Return a line per process, which tells whether its table is newest."""
     versions = [
         _get_version(reading) for reading in readings if not reading.error
     ]
@@ -43,11 +46,13 @@
 
 
 def _get_version(reading: PageResult) -> tuple[int, str]:
+    """Return the revision and the digest of a process's table."""
     table = reading.document['table']
     return (table['revision'], table['digest'])
 
 
 def _make_line(reading: PageResult, newest: tuple[int, str]) -> _Line:
+    """Return the line of a process, given the newest version of the table."""
     if reading.error is not None:
         return _Line(
             address=reading.address,
--- a/packages/keelgap-balancer/src/keelgap_balancer/commands/trace.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/commands/trace.py
@@ -92,7 +92,10 @@
 
 
 def trace(wanted: str, files: tuple[str, ...], *, around: bool) -> int:
-    """Print the history; return an error status if there is none."""
+    """Print the history of a request or flow from log files.
+
+    Returns an error status if there is none.
+    """
     entries: list[LogEntry] = []
     try:
         for name in files:
@@ -111,6 +114,7 @@
 
 
 def _print_entry(entry: LogEntry) -> None:
+    """Print a log entry as one line."""
     header_keys = {'time', 'uptime', 'program', 'instance', 'event'}
     fields = ' '.join(
         f'{name}={value}'
--- a/packages/keelgap-balancer/src/keelgap_balancer/driver.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/driver.py
@@ -104,6 +104,7 @@
         datagram: bytes,
         sender: tuple[str, int],
     ) -> None:
+        """Dispatch an authentic envelope; count any other as dropped."""
         try:
             envelope = self.envelopes.open(datagram, sender)
         except WireError as error:
@@ -115,6 +116,7 @@
         self.dispatch(EnvelopeReceived(self.loop.time(), address, envelope))
 
     def _send_envelope(self, effect: SendEnvelope) -> None:
+        """Send an envelope, and count it as dropped if that fails."""
         receiver = effect.receiver
         datagram = self.envelopes.seal(effect.envelope, receiver)
         sock = self.data_socket
@@ -122,6 +124,7 @@
             self.metrics.drops.labels('send_failed').inc()
 
     def _send_to_caller(self, effect: SendToCaller) -> None:
+        """Send a datagram from the port of its service."""
         listener = self.listeners.get(effect.service)
         if listener is None:
             self.metrics.drops.labels('no_listener').inc()
@@ -135,6 +138,7 @@
         self.metrics.events.labels(effect.name).inc()
 
     def _open_service(self, effect: OpenService) -> None:
+        """Listen on the port of a service, and log if the port is in use."""
         service = effect.service
         address = Address(self.state.address.host, service.port)
         try:
@@ -161,6 +165,7 @@
             listener.stack.close()
 
     def _close_listeners(self) -> None:
+        """Stop listening on the ports of all services."""
         for listener in self.listeners.values():
             listener.stack.close()
         self.listeners.clear()
@@ -169,6 +174,7 @@
         self,
         service: int,
     ) -> Callable[[bytes, tuple[str, int]], None]:
+        """Return a function that dispatches callers' datagrams."""
         get_time = self.loop.time
 
         def handle_datagram(datagram: bytes, sender: tuple[str, int]) -> None:
--- a/packages/keelgap-balancer/src/keelgap_balancer/forwarding.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/forwarding.py
@@ -51,6 +51,10 @@
 
 
 def _route(state: BalancerState, event: CallerDatagram) -> Effects:
+    """Forward a datagram to its owner, or open a flow if it is a first one.
+
+    Raises a WireError if the datagram must be dropped.
+    """
     header = parse_header(event.payload)
     try:
         owner = state.codec.read(header.destination_id)
@@ -66,6 +70,10 @@
     event: CallerDatagram,
     owner: FlowOwner,
 ) -> Effects:
+    """Forward a datagram to the agent that owns its flow.
+
+    A suspect agent is reached through a peer balancer.
+    """
     if owner.service != event.service:
         raise ForeignService
     if not state.may_own_flows(owner.agent):
@@ -85,6 +93,10 @@
     event: CallerDatagram,
     connection_id: bytes,
 ) -> Effects:
+    """Forward a first datagram to the best candidate agent.
+
+    Raises NoUpstream if there is no candidate.
+    """
     candidates = choose_candidates(state, event.service, connection_id)
     if not candidates:
         raise NoUpstream
@@ -103,9 +115,9 @@
 ) -> tuple[Address, ...]:
     """Return the ranked agents for a new flow, suspects last.
 
-    The hash key is the connection id that the caller chose, so that every
-    balancer ranks the agents in the same order for all datagrams of one
-    handshake.
+    Suspects are agents presumed dead.  The hash key is the connection id that
+    the caller chose, so that every balancer ranks the agents in the same order
+    for all datagrams of one handshake.
     """
     eligible = state.eligible_upstreams.get(service, ())
     # At most half of the upstreams are suspect, so that twice as many of them
@@ -121,6 +133,7 @@
     event: CallerDatagram,
     candidates: tuple[Address, ...],
 ) -> Envelope:
+    """Return the envelope that forwards a caller's datagram."""
     return Envelope(
         MessageKind.FORWARD,
         event.service,
@@ -171,6 +184,7 @@
     state: BalancerState,
     event: EnvelopeReceived,
 ) -> Effects:
+    """Send an agent's datagram to its caller from the port of the service."""
     envelope = event.envelope
     if envelope.service not in state.table.services:
         return (Drop(ForeignService.code),)
@@ -178,6 +192,7 @@
 
 
 def _deliver_detour(state: BalancerState, event: EnvelopeReceived) -> Effects:
+    """Forward a datagram from a peer balancer to its agent."""
     agent = event.envelope.via
     if not state.may_own_flows(agent):
         return (Drop(UnknownOwner.code),)
@@ -190,6 +205,7 @@
 
 
 def _reply_to_probe(state: BalancerState, event: EnvelopeReceived) -> Effects:
+    """Send a probe reply to the process that sent the probe."""
     reply = make_control_envelope(state, MessageKind.PROBE_REPLY)
     return (SendEnvelope(event.sender, reply),)
 
--- a/packages/keelgap-balancer/src/keelgap_balancer/health.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/health.py
@@ -69,7 +69,10 @@
 
 
 class HealthMap:
-    """Health of all agents, with a limit on the suspects of each service."""
+    """Health of all agents, with a limit on the suspects of each service.
+
+    A suspect is an agent that left an awaited answer overdue.
+    """
 
     def __init__(self) -> None:
         """Initialize without agents."""
@@ -185,6 +188,7 @@
         return health
 
     def _take_probe_token(self, now: float) -> bool:
+        """Return whether the rate limit permits another probe now."""
         if now - self.probe_tokens_refilled_at >= 1:
             self.probe_tokens_refilled_at = now
             self.probe_tokens = defaults.PROBES_PER_SECOND
--- a/packages/keelgap-balancer/src/keelgap_balancer/membership.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/membership.py
@@ -17,7 +17,7 @@
     state: BalancerState,
     event: TableChanged,
 ) -> tuple[BalancerEffect, ...]:
-    """Put a table in force if it is newer than the one in force."""
+    """Apply a table of services if it is newer than the one in use."""
     if event.table.version <= state.table.version:
         return ()
     before = state.table
@@ -31,7 +31,7 @@
     state: BalancerState,
     event: InstancesChanged,
 ) -> tuple[BalancerEffect, ...]:
-    """Put an instance list in force if it is newer than the one in force."""
+    """Apply an instance list if it is newer than the one in use."""
     if event.instances.revision <= state.instances.revision:
         return ()
     state.instances = event.instances
@@ -46,6 +46,7 @@
     before: Table,
     after: Table,
 ) -> tuple[BalancerEffect, ...]:
+    """Return the effects that close and open the ports that differ."""
     if before.services == after.services:
         return ()
     old = _index_listeners(before)
@@ -59,6 +60,7 @@
 
 
 def _index_listeners(table: Table) -> dict[tuple[int, int], Service]:
+    """Return the services of a table by number and port."""
     return {
         (service.number, service.port): service
         for service in table.services.values()
@@ -116,6 +118,7 @@
     members: tuple[Upstream, ...],
     leaving: frozenset[Address],
 ) -> tuple[WeightedUpstream, ...]:
+    """Return the weighted upstreams that may take new flows."""
     return tuple(
         _add_weight(upstream)
         for upstream in members
@@ -124,5 +127,6 @@
 
 
 def _add_weight(upstream: Upstream) -> WeightedUpstream:
+    """Return an upstream with its weight and hash seed for the ranking."""
     seed = xxh3_64_intdigest(upstream.name.encode())
     return WeightedSeed(seed, upstream.weight), upstream
--- a/packages/keelgap-balancer/src/keelgap_balancer/reducer.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/reducer.py
@@ -44,6 +44,7 @@
 
 
 def _handle_timer(state: BalancerState, event: TimerFired) -> Effects:
+    """Mark agents with overdue answers as suspects and send due probes."""
     health = state.health
     health.detect_pause(event.now)
     new_suspects = 0
@@ -63,6 +64,7 @@
 
 
 def _handle_stop(state: BalancerState, event: StopRequested) -> Effects:
+    """Tell all agents that this balancer is leaving."""
     state.stopping = True
     message = make_control_envelope(state, MessageKind.LEAVING)
     return tuple(SendEnvelope(agent, message) for agent in sorted(state.owners))
--- a/packages/keelgap-balancer/src/keelgap_balancer/server.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/server.py
@@ -149,6 +149,7 @@
         )
 
     def _handle_change(self, parsed: ParsedDocument) -> None:
+        """Dispatch a new table or instance list."""
         now = self.loop.time()
         if isinstance(parsed, Table):
             self.driver.dispatch(TableChanged(now, parsed))
@@ -156,4 +157,5 @@
             self.driver.dispatch(InstancesChanged(now, parsed))
 
     def _count_stray_message(self, delivery: Delivery) -> None:
+        """Count a control message that a balancer has no use for."""
         self.metrics.drops.labels('stray_message').inc()
