--- a/packages/keelgap-agent/src/keelgap_agent/requests/completion.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/completion.py
@@ -121,7 +121,7 @@
 
 
 def _compute_retry_after(state: AgentState, wait: float) -> float:
-    """Return a backoff with jitter, which spreads out retries."""
+    """Return a backoff with jitter in seconds, which spreads out retries."""
     steps = min(
         state.consecutive_refusals // _REFUSALS_PER_STEP, _MAX_BACKOFF_STEPS
     )
--- a/packages/keelgap-agent/src/keelgap_agent/requests/tickets.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/tickets.py
@@ -50,7 +50,7 @@
 
 
 class Ticket(NamedTuple):
-    """The fields of a ticket."""
+    """The fields of a ticket, which permits requests that run at most once."""
 
     #: Control address of the issuing agent, where others can ask it.
     issuer: Address
--- a/packages/keelgap-balancer/src/keelgap_balancer/state.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/state.py
@@ -41,5 +41,9 @@
         self.last_caller_datagram_at = float('-inf')
 
     def may_own_flows(self, agent: Address) -> bool:
-        """Return whether an agent is published or was recently."""
+        """Return whether an agent may still own flows.
+
+        This applies to agents that are or recently were in the table or the
+        instance list.
+        """
         return agent in self.owners or agent in self.former_owners
--- a/packages/keelgap/src/keelgap/control/messages.py
+++ b/packages/keelgap/src/keelgap/control/messages.py
@@ -85,7 +85,7 @@
 
 
 class Ask(msgspec.Struct, tag='ask', frozen=True):
-    """Ask another agent to run a request, or for the outcome of a keyed one."""
+    """Ask another agent to run a request or to return its outcome."""
 
     ask_id: int
     run_only: bool
--- a/packages/keelgap/src/keelgap/wire/exceptions.py
+++ b/packages/keelgap/src/keelgap/wire/exceptions.py
@@ -44,7 +44,7 @@
 
 
 class UnknownKey(WireError):
-    """The key id of the datagram is not live in this process."""
+    """This process has no key with the key id of the datagram."""
 
     code = 'unknown_key'
 
