--- a/packages/keelgap-agent/src/keelgap_agent/commands/run.py
+++ b/packages/keelgap-agent/src/keelgap_agent/commands/run.py
@@ -12,7 +12,10 @@
 
 
 def run(path: str) -> int:
-    """Run until SIGTERM and the end of all flows; return the exit status."""
+    """Run an agent until SIGTERM and the end of all its flows.
+
+    Returns the exit status.
+    """
     try:
         settings = load_settings(path, AgentSettings)
     except KeelgapError as error:
--- a/packages/keelgap-agent/src/keelgap_agent/drain.py
+++ b/packages/keelgap-agent/src/keelgap_agent/drain.py
@@ -50,7 +50,7 @@
 def handle_instances_change(
     state: AgentState, event: InstancesChanged
 ) -> Effects:
-    """Apply a list of machines, which may report this agent as leaving."""
+    """Apply an instance list, which may report this agent as leaving."""
     if event.instances.revision <= state.instances.revision:
         return ()
     state.instances = event.instances
--- a/packages/keelgap-agent/src/keelgap_agent/quic/connections.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/connections.py
@@ -129,6 +129,7 @@
         self,
         event: quic_events.HandshakeCompleted,
     ) -> None:
+        """Send GOAWAY on a new connection if the agent is leaving."""
         if self.hooks.is_leaving():
             self.stop_new_requests()
 
--- a/packages/keelgap-agent/src/keelgap_agent/quic/protocol.py
+++ b/packages/keelgap-agent/src/keelgap_agent/quic/protocol.py
@@ -107,7 +107,7 @@
         builder: QuicPacketBuilder,
         space: QuicPacketSpace,
     ) -> None:
-        """Raise the connection's data limit by the octets consumed so far."""
+        """Raise the data limit to a window beyond the octets consumed."""
         # aioquic doubles the window depending on the octets received.  Hide
         # that count, so that only consumed octets raise the limit.
         limit = self._local_max_data
@@ -123,7 +123,7 @@
         space: QuicPacketSpace,
         stream: QuicStream,
     ) -> None:
-        """Raise a stream's data limit by the octets consumed so far."""
+        """Raise a stream's data limit to a window past the consumed octets."""
         consumed = self.consumed_by_stream.get(stream.stream_id or 0, 0)
         if stream.max_stream_data_local:
             granted = consumed + STREAM_WINDOW
--- a/packages/keelgap-agent/src/keelgap_agent/requests/lifecycle.py
+++ b/packages/keelgap-agent/src/keelgap_agent/requests/lifecycle.py
@@ -242,7 +242,7 @@
     request: Request,
     reason: str,
 ) -> Effects:
-    """Refuse a request that may have run without an answer.
+    """Answer a request that may have run with a problem.
 
     Attempts that wait for its outcome get the same problem.
     """
--- a/packages/keelgap-balancer/src/keelgap_balancer/forwarding.py
+++ b/packages/keelgap-balancer/src/keelgap_balancer/forwarding.py
@@ -211,6 +211,7 @@
 
 
 def _ignore(state: BalancerState, event: EnvelopeReceived) -> Effects:
+    """Do nothing: that the envelope arrived is already recorded."""
     return ()
 
 
--- a/packages/keelgap/src/keelgap/checks.py
+++ b/packages/keelgap/src/keelgap/checks.py
@@ -40,7 +40,7 @@
 
 
 class _Column(NamedTuple):
-    """The name, the type and the necessity of a column."""
+    """The name and the type of a column, and whether it is required."""
 
     name: str
     hint: object
--- a/packages/keelgap/src/keelgap/wire/exceptions.py
+++ b/packages/keelgap/src/keelgap/wire/exceptions.py
@@ -86,7 +86,7 @@
 
 
 class UnknownOwner(WireError):
-    """The agent in the connection id is not published, nor was recently."""
+    """The connection id names an agent that is unknown or long removed."""
 
     code = 'unknown_owner'
 
